--- a/internal/eventstream/errors.go
+++ b/internal/eventstream/errors.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// ErrNotTheRest means that an answer is not the rest of the stream that was to go on with it.
-type ErrNotTheRest struct {
+// ErrNotContinuation means that an answer is not the rest of the stream that was to go on with it.
+type ErrNotContinuation struct {
 	Reason string
 	// Status is that of the answer's head.
 	Status int
 }
 
 // Error implements error.
-func (e *ErrNotTheRest) Error() string {
+func (e *ErrNotContinuation) Error() string {
 	return fmt.Sprintf("an answer of status %d is not the rest of the stream: %s", e.Status, e.Reason)
 }
 
-// ErrDamaged means that a run's body can't be trusted from some byte on.
-type ErrDamaged struct{ Reason string }
+// ErrCorrupt means that a run's body can't be trusted from some byte on.
+type ErrCorrupt struct{ Reason string }
 
 // Error implements error.
-func (e *ErrDamaged) Error() string { return "the stream is damaged: " + e.Reason }
+func (e *ErrCorrupt) Error() string { return "the stream is damaged: " + e.Reason }
 
 // ErrMismatch means that what an engine has does not fit what the caller has, for which the engine is not to blame: its
 // weights have changed, or the caller named an event that is not of this stream.
--- a/internal/eventstream/order_test.go
+++ b/internal/eventstream/order_test.go
@@ -32,15 +32,15 @@
 	} {
 		stream := New(Options{Resumable: true})
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err := stream.Bytes([]byte(idText(ids[:2]...)))
+		passed, err := stream.Feed([]byte(idText(ids[:2]...)))
 		assert.NilError(t, err, name)
 		got := string(passed)
-		stream.Break()
-		if !stream.MayResume() {
+		stream.Interrupt()
+		if !stream.CanResume() {
 			continue
 		}
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err = stream.Bytes([]byte(idText(ids...)))
+		passed, err = stream.Feed([]byte(idText(ids...)))
 		got += string(passed)
 		assert.Check(t, err != nil && got == idText(ids[:2]...), "%s: the caller got %q", name, got)
 	}
@@ -58,12 +58,12 @@
 	} {
 		stream := New(Options{Resumable: true})
 		assert.NilError(t, stream.Begin(eventHead))
-		_, err := stream.Bytes([]byte(idText(ids[:2]...)))
+		_, err := stream.Feed([]byte(idText(ids[:2]...)))
 		assert.NilError(t, err, name)
-		stream.Break()
-		assert.Assert(t, stream.MayResume(), name)
+		stream.Interrupt()
+		assert.Assert(t, stream.CanResume(), name)
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err := stream.Bytes([]byte(idText(ids[2:]...)))
+		passed, err := stream.Feed([]byte(idText(ids[2:]...)))
 		assert.NilError(t, err, name)
 		assert.Equal(t, string(passed), idText(ids[2:]...), name)
 	}
@@ -87,18 +87,18 @@
 	} {
 		for _, resumable := range []bool{true, false} {
 			for cut := range len(text) {
-				stream := New(Options{Resumable: resumable, Keep: true})
+				stream := New(Options{Resumable: resumable, KeepOutput: true})
 				assert.NilError(t, stream.Begin(eventHead))
 				var got strings.Builder
 				for _, piece := range []string{text[:cut], text[cut:]} {
-					passed, err := stream.Bytes([]byte(piece))
+					passed, err := stream.Feed([]byte(piece))
 					assert.NilError(t, err, name)
 					got.Write(passed)
 				}
 				rest, err := stream.End()
 				got.Write(rest)
-				if !assert.Check(t, err == nil && got.String() == text && stream.Passed() == 2,
-					"%s, resumable %t: %d events, %v, %q", name, resumable, stream.Passed(), err, got.String()) {
+				if !assert.Check(t, err == nil && got.String() == text && stream.EventsForwarded() == 2,
+					"%s, resumable %t: %d events, %v, %q", name, resumable, stream.EventsForwarded(), err, got.String()) {
 					break
 				}
 			}
@@ -113,7 +113,7 @@
 	assert.NilError(t, stream.Begin(eventHead))
 	piece := []byte(strings.Repeat("x", 1<<20))
 	for sent := 0; sent <= 2*maximalHeldBytes; sent += len(piece) {
-		if _, err := stream.Bytes(piece); err != nil {
+		if _, err := stream.Feed(piece); err != nil {
 			return
 		}
 	}
--- a/internal/eventstream/scanner_test.go
+++ b/internal/eventstream/scanner_test.go
@@ -8,10 +8,10 @@
 
 // streamOf passes the pieces of a body through a stream that can't be resumed.
 func streamOf(pieces ...string) *Stream {
-	stream := New(Options{Keep: true})
+	stream := New(Options{KeepOutput: true})
 	_ = stream.Begin(eventHead)
 	for _, piece := range pieces {
-		_, _ = stream.Bytes([]byte(piece))
+		_, _ = stream.Feed([]byte(piece))
 	}
 	return stream
 }
@@ -21,10 +21,10 @@
 	text := "id: 1\r\ndata: a\r\n\r\n: note\n\nid:2\ndata:b\ndata: c\n\nevent: x\n\ndata: d\n"
 	for cut := range len(text) {
 		stream := streamOf(text[:cut], text[cut:])
-		assert.Equal(t, stream.Passed(), 2, "cut at %d", cut)
+		assert.Equal(t, stream.EventsForwarded(), 2, "cut at %d", cut)
 		assert.Equal(t, string(stream.Output()), "a\nb\nc\n")
 		assert.Equal(t, stream.LastEvent(), "2")
-		assert.Equal(t, stream.Started(), 3)
+		assert.Equal(t, stream.EventsStarted(), 3)
 	}
 }
 
@@ -33,13 +33,13 @@
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
 		cut = min(max(cut, 0), len(text))
 		whole, parts := streamOf(string(text)), streamOf(string(text[:cut]), string(text[cut:]))
-		assert.Equal(t, whole.Passed(), parts.Passed())
+		assert.Equal(t, whole.EventsForwarded(), parts.EventsForwarded())
 		assert.Equal(t, string(whole.Output()), string(parts.Output()))
 		resumable := New(Options{Resumable: true})
 		assert.NilError(t, resumable.Begin(eventHead))
 		var passed []byte
 		for _, piece := range [][]byte{text[:cut], text[cut:]} {
-			got, err := resumable.Bytes(piece)
+			got, err := resumable.Feed(piece)
 			passed = append(passed, got...)
 			if err != nil {
 				break
--- a/internal/eventstream/stream.go
+++ b/internal/eventstream/stream.go
@@ -34,16 +34,16 @@
 
 // The states.
 const (
-	// Opened means that nothing has passed to the caller: the next run's answer may be any.
-	Opened State = iota
-	// Passing means that bytes of the present run have passed.
-	Passing
-	// Broken means that a run broke off after bytes had passed.
-	Broken
+	// Pending means that nothing has passed to the caller: the next run's answer may be any.
+	Pending State = iota
+	// Forwarding means that bytes of the present run have passed.
+	Forwarding
+	// Interrupted means that a run broke off after bytes had passed.
+	Interrupted
 	// Resuming means that the rest has begun to come, and none of its events has passed yet.
 	Resuming
-	// Ended means that the caller has the whole answer.
-	Ended
+	// Complete means that the caller has the whole answer.
+	Complete
 )
 
 // String implements fmt.Stringer.
@@ -63,8 +63,8 @@
 type Options struct {
 	// Resumable streams may go on in another run after their last event. Only whole events of them are passed on.
 	Resumable bool
-	// Keep tells whether Output is wanted.
-	Keep bool
+	// KeepOutput tells whether Output is wanted.
+	KeepOutput bool
 	// LastEvent is the ID of the last event that the caller has from an answer before; empty if it has none.
 	LastEvent string
 	// FromStart tells that runs begin at the stream's start although the caller has a part of it, for Output is to be of all
@@ -134,31 +134,31 @@
 // LastEvent is the ID of the event after which another run goes on; empty for the start of the stream.
 func (s *Stream) LastEvent() string { return s.lastID }
 
-// Passed is how many whole events have passed.
-func (s *Stream) Passed() int { return s.count }
+// EventsForwarded is how many whole events have passed.
+func (s *Stream) EventsForwarded() int { return s.count }
 
-// Started is how many events the caller has got a part of, the whole ones included.
-func (s *Stream) Started() int {
+// EventsStarted is how many events the caller has got a part of, the whole ones included.
+func (s *Stream) EventsStarted() int {
 	if !s.options.Resumable && s.present.succeeds() && s.scanner.open() {
 		return s.count + 1
 	}
 	return s.count
 }
 
-// Output is the data of each event that was taken, each followed by a line feed. It is empty unless Options.Keep is set.
+// Output is the data of each event that was taken, each followed by a line feed. It is empty unless Options.KeepOutput is set.
 func (s *Stream) Output() []byte { return s.output }
 
-// MayResume tells whether another run may follow the present one, which has broken off: the caller has got nothing, or it is
+// CanResume tells whether another run may follow the present one, which has broken off: the caller has got nothing, or it is
 // known after which event the other one is to go on.
-func (s *Stream) MayResume() bool {
-	if s.state == Opened {
+func (s *Stream) CanResume() bool {
+	if s.state == Pending {
 		return true
 	}
 	known := s.numbered && !s.order.overflown && !s.mismatched
-	return s.options.Resumable && s.first.succeeds() && known && s.state != Ended
+	return s.options.Resumable && s.first.succeeds() && known && s.state != Complete
 }
 
-// Begin takes the head of a run's answer. Once bytes have passed, one that is not the head of the rest is an ErrNotTheRest or
+// Begin takes the head of a run's answer. Once bytes have passed, one that is not the head of the rest is an ErrNotContinuation or
 // an ErrMismatch: a failure of the engine is an answer only to a request that has none.
 func (s *Stream) Begin(head Head) error {
 	s.scanner.restartBody()
@@ -166,29 +166,29 @@
 	s.brought = false
 	s.present = head
 	switch s.state {
-	case Opened:
+	case Pending:
 		s.first = head
 		s.version = head.Version
 		return nil
-	case Broken:
+	case Interrupted:
 		if err := s.isRest(head); err != nil {
 			return err
 		}
 		s.state = Resuming
 		return nil
 	}
-	return &ErrNotTheRest{Reason: "the stream is " + s.state.String(), Status: head.Status}
+	return &ErrNotContinuation{Reason: "the stream is " + s.state.String(), Status: head.Status}
 }
 
 // isRest compares a head with that of the stream that it is to go on with.
 func (s *Stream) isRest(head Head) error {
 	switch {
-	case !s.MayResume():
-		return &ErrNotTheRest{Reason: "the stream can't be resumed", Status: head.Status}
+	case !s.CanResume():
+		return &ErrNotContinuation{Reason: "the stream can't be resumed", Status: head.Status}
 	case head.Status != s.first.Status:
-		return &ErrNotTheRest{Reason: "its status is another", Status: head.Status}
+		return &ErrNotContinuation{Reason: "its status is another", Status: head.Status}
 	case head.MediaType != s.first.MediaType:
-		return &ErrNotTheRest{Reason: "its type is " + head.MediaType, Status: head.Status}
+		return &ErrNotContinuation{Reason: "its type is " + head.MediaType, Status: head.Status}
 	case head.Version != s.version && head.Version != "" && s.version != "":
 		s.mismatched = true
 		return &ErrMismatch{Reason: "the engine's weights are of version " + head.Version + " now"}
@@ -196,15 +196,15 @@
 	return nil
 }
 
-// Bytes takes a part of the present run's body and returns what the caller is to get now, also beside an error; it is valid
-// until the next call. An ErrDamaged means that the run can't be trusted from there on, an ErrMismatch that it does not fit
+// Feed takes a part of the present run's body and returns what the caller is to get now, also beside an error; it is valid
+// until the next call. An ErrCorrupt means that the run can't be trusted from there on, an ErrMismatch that it does not fit
 // what the caller had before.
-func (s *Stream) Bytes(chunk []byte) ([]byte, error) {
+func (s *Stream) Feed(chunk []byte) ([]byte, error) {
 	switch {
 	case !s.present.succeeds() && s.options.Resumable:
 		return nil, s.hold(chunk)
 	case !s.present.succeeds():
-		s.state = Passing
+		s.state = Forwarding
 		return chunk, nil
 	case !s.options.Resumable:
 		return s.passThrough(chunk)
@@ -215,7 +215,7 @@
 // hold keeps bytes back.
 func (s *Stream) hold(chunk []byte) error {
 	if len(s.held)+len(chunk) > maximalHeldBytes {
-		return &ErrDamaged{Reason: "an event or a failure is larger than is held"}
+		return &ErrCorrupt{Reason: "an event or a failure is larger than is held"}
 	}
 	s.held = append(s.held, chunk...)
 	return nil
@@ -223,7 +223,7 @@
 
 // passThrough passes bytes as they come; events are only counted.
 func (s *Stream) passThrough(chunk []byte) ([]byte, error) {
-	s.state = Passing
+	s.state = Forwarding
 	for rest := chunk; len(rest) > 0; {
 		taken, ended := s.scanner.next(rest)
 		rest = rest[taken:]
@@ -233,7 +233,7 @@
 		}
 	}
 	if s.scanner.size > maximalHeldBytes {
-		return chunk, &ErrDamaged{Reason: "an event is larger than is remembered"}
+		return chunk, &ErrCorrupt{Reason: "an event is larger than is remembered"}
 	}
 	return chunk, nil
 }
@@ -271,7 +271,7 @@
 	case next.hasData, s.state != Resuming:
 		// What has no data, such as a comment, keeps a caller that waits from giving up: it passes at once. Only in a run
 		// that is to bring the rest it waits for an event, until which the run may not be the rest.
-		s.state = Passing
+		s.state = Forwarding
 		s.out = append(s.out, s.held...)
 	default:
 		return nil
@@ -296,7 +296,7 @@
 	case s.count == 0 && s.lastID != "":
 		return &ErrMismatch{Reason: reason + ", which the caller named"}
 	}
-	return &ErrDamaged{Reason: reason}
+	return &ErrCorrupt{Reason: reason}
 }
 
 // unproved tells whether nothing has shown yet that the present run goes on after what the caller has.
@@ -319,7 +319,7 @@
 	if passed.version != "" {
 		s.version = passed.version
 	}
-	if s.options.Keep {
+	if s.options.KeepOutput {
 		s.output = append(s.output, passed.data...)
 		s.output = append(s.output, '\n')
 	}
@@ -335,7 +335,7 @@
 func (s *Stream) End() ([]byte, error) {
 	s.out = s.out[:0]
 	if !s.present.succeeds() {
-		s.state = Ended
+		s.state = Complete
 		return s.held, nil
 	}
 	if err := s.finishEvent(); err != nil {
@@ -343,14 +343,14 @@
 	}
 	switch {
 	case s.scanner.open() && (s.present.MediaType == MediaType || s.count > 0):
-		return s.out, &ErrDamaged{Reason: "the answer ends within an event"}
-	case s.state == Resuming || s.state == Broken || (!s.brought && s.goesOn()):
+		return s.out, &ErrCorrupt{Reason: "the answer ends within an event"}
+	case s.state == Resuming || s.state == Interrupted || (!s.brought && s.goesOn()):
 		// An engine that fails may end an answer before its first event. Taken for the rest, it would end the stream.
-		return s.out, &ErrNotTheRest{Reason: "it brought no event", Status: s.present.Status}
+		return s.out, &ErrNotContinuation{Reason: "it brought no event", Status: s.present.Status}
 	case s.skipping:
 		return s.out, &ErrMismatch{Reason: "event " + s.options.LastEvent + ", which the caller named, did not come"}
 	}
-	s.state = Ended
+	s.state = Complete
 	return append(s.out, s.held...), nil
 }
 
@@ -372,13 +372,13 @@
 	return nil
 }
 
-// Break notes that the present run has ended early, or that what it sent was not the rest.
-func (s *Stream) Break() {
+// Interrupt notes that the present run has ended early, or that what it sent was not the rest.
+func (s *Stream) Interrupt() {
 	s.held = s.held[:0]
 	if s.options.Resumable {
 		s.scanner.restartBody()
 	}
-	if s.state == Passing || s.state == Resuming {
-		s.state = Broken
+	if s.state == Forwarding || s.state == Resuming {
+		s.state = Interrupted
 	}
 }
--- a/internal/eventstream/stream_test.go
+++ b/internal/eventstream/stream_test.go
@@ -25,19 +25,19 @@
 func in(t *testing.T, state State, resumable bool) *Stream {
 	t.Helper()
 	stream := New(Options{Resumable: resumable, VersionField: "weights"})
-	if state == Opened {
+	if state == Pending {
 		return stream
 	}
 	assert.NilError(t, stream.Begin(eventHead))
-	_, err := stream.Bytes([]byte(eventText(1, 2)))
+	_, err := stream.Feed([]byte(eventText(1, 2)))
 	assert.NilError(t, err)
 	switch state {
-	case Broken:
-		stream.Break()
+	case Interrupted:
+		stream.Interrupt()
 	case Resuming:
-		stream.Break()
+		stream.Interrupt()
 		assert.NilError(t, stream.Begin(eventHead))
-	case Ended:
+	case Complete:
 		_, err = stream.End()
 		assert.NilError(t, err)
 	}
@@ -49,7 +49,7 @@
 type step func(stream *Stream) ([]byte, error)
 
 func bytesOf(text string) step {
-	return func(stream *Stream) ([]byte, error) { return stream.Bytes([]byte(text)) }
+	return func(stream *Stream) ([]byte, error) { return stream.Feed([]byte(text)) }
 }
 
 func headOf(head Head) step {
@@ -59,7 +59,7 @@
 func end(stream *Stream) ([]byte, error) { return stream.End() }
 
 func breakOff(stream *Stream) ([]byte, error) {
-	stream.Break()
+	stream.Interrupt()
 	return nil, nil
 }
 
@@ -75,41 +75,41 @@
 		fails  bool
 		then   State
 	}{
-		"opened, a stream begins":            {state: Opened, comes: headOf(eventHead), then: Opened},
-		"opened, a failure begins":           {state: Opened, comes: headOf(Head{Status: 500}), then: Opened},
-		"opened, events":                     {state: Opened, comes: bytesOf(eventText(1, 2)), passes: eventText(1, 2), then: Passing},
-		"opened, a part of an event":         {state: Opened, comes: bytesOf(cutEvent), then: Opened},
-		"opened, a part, not resumable":      {state: Opened, once: true, comes: bytesOf(cutEvent), passes: cutEvent, then: Passing},
-		"opened, it ends":                    {state: Opened, comes: end, then: Ended},
-		"opened, it breaks":                  {state: Opened, comes: breakOff, then: Opened},
-		"passing, events":                    {state: Passing, comes: bytesOf(eventText(3, 4)), passes: eventText(3, 4), then: Passing},
-		"passing, an event and a part":       {state: Passing, comes: bytesOf(eventText(3, 3) + "id: 4"), passes: eventText(3, 3), then: Passing},
-		"passing, an event that is there":    {state: Passing, comes: bytesOf(eventText(2, 3)), fails: true, then: Passing},
-		"passing, good and bad events":       {state: Passing, comes: bytesOf(eventText(3, 3) + eventText(1, 1)), passes: eventText(3, 3), fails: true, then: Passing},
-		"passing, the same, not resumable":   {state: Passing, once: true, comes: bytesOf(eventText(1, 1)), passes: eventText(1, 1), then: Passing},
-		"passing, another head":              {state: Passing, comes: headOf(eventHead), fails: true, then: Passing},
-		"passing, it ends":                   {state: Passing, comes: end, then: Ended},
-		"passing, it breaks":                 {state: Passing, comes: breakOff, then: Broken},
-		"broken, the rest begins":            {state: Broken, comes: headOf(eventHead), then: Resuming},
-		"broken, a failure":                  {state: Broken, comes: headOf(Head{Status: 500, MediaType: "text/plain"}), fails: true, then: Broken},
-		"broken, a failure of the same type": {state: Broken, comes: headOf(Head{Status: 500, MediaType: MediaType}), fails: true, then: Broken},
-		"broken, no content":                 {state: Broken, comes: headOf(Head{Status: 204}), fails: true, then: Broken},
-		"broken, another type":               {state: Broken, comes: headOf(Head{Status: 200, MediaType: "application/json"}), fails: true, then: Broken},
-		"broken, other weights":              {state: Broken, comes: headOf(Head{Status: 200, MediaType: MediaType, Version: "2"}), fails: true, then: Broken},
-		"broken, the rest, not resumable":    {state: Broken, once: true, comes: headOf(eventHead), fails: true, then: Broken},
-		"broken, it ends":                    {state: Broken, comes: end, fails: true, then: Broken},
-		"resuming, the next event":           {state: Resuming, comes: bytesOf(eventText(3, 3)), passes: eventText(3, 3), then: Passing},
+		"opened, a stream begins":            {state: Pending, comes: headOf(eventHead), then: Pending},
+		"opened, a failure begins":           {state: Pending, comes: headOf(Head{Status: 500}), then: Pending},
+		"opened, events":                     {state: Pending, comes: bytesOf(eventText(1, 2)), passes: eventText(1, 2), then: Forwarding},
+		"opened, a part of an event":         {state: Pending, comes: bytesOf(cutEvent), then: Pending},
+		"opened, a part, not resumable":      {state: Pending, once: true, comes: bytesOf(cutEvent), passes: cutEvent, then: Forwarding},
+		"opened, it ends":                    {state: Pending, comes: end, then: Complete},
+		"opened, it breaks":                  {state: Pending, comes: breakOff, then: Pending},
+		"passing, events":                    {state: Forwarding, comes: bytesOf(eventText(3, 4)), passes: eventText(3, 4), then: Forwarding},
+		"passing, an event and a part":       {state: Forwarding, comes: bytesOf(eventText(3, 3) + "id: 4"), passes: eventText(3, 3), then: Forwarding},
+		"passing, an event that is there":    {state: Forwarding, comes: bytesOf(eventText(2, 3)), fails: true, then: Forwarding},
+		"passing, good and bad events":       {state: Forwarding, comes: bytesOf(eventText(3, 3) + eventText(1, 1)), passes: eventText(3, 3), fails: true, then: Forwarding},
+		"passing, the same, not resumable":   {state: Forwarding, once: true, comes: bytesOf(eventText(1, 1)), passes: eventText(1, 1), then: Forwarding},
+		"passing, another head":              {state: Forwarding, comes: headOf(eventHead), fails: true, then: Forwarding},
+		"passing, it ends":                   {state: Forwarding, comes: end, then: Complete},
+		"passing, it breaks":                 {state: Forwarding, comes: breakOff, then: Interrupted},
+		"broken, the rest begins":            {state: Interrupted, comes: headOf(eventHead), then: Resuming},
+		"broken, a failure":                  {state: Interrupted, comes: headOf(Head{Status: 500, MediaType: "text/plain"}), fails: true, then: Interrupted},
+		"broken, a failure of the same type": {state: Interrupted, comes: headOf(Head{Status: 500, MediaType: MediaType}), fails: true, then: Interrupted},
+		"broken, no content":                 {state: Interrupted, comes: headOf(Head{Status: 204}), fails: true, then: Interrupted},
+		"broken, another type":               {state: Interrupted, comes: headOf(Head{Status: 200, MediaType: "application/json"}), fails: true, then: Interrupted},
+		"broken, other weights":              {state: Interrupted, comes: headOf(Head{Status: 200, MediaType: MediaType, Version: "2"}), fails: true, then: Interrupted},
+		"broken, the rest, not resumable":    {state: Interrupted, once: true, comes: headOf(eventHead), fails: true, then: Interrupted},
+		"broken, it ends":                    {state: Interrupted, comes: end, fails: true, then: Interrupted},
+		"resuming, the next event":           {state: Resuming, comes: bytesOf(eventText(3, 3)), passes: eventText(3, 3), then: Forwarding},
 		"resuming, the last event again":     {state: Resuming, comes: bytesOf(eventText(2, 2)), fails: true, then: Resuming},
 		"resuming, from the start":           {state: Resuming, comes: bytesOf(eventText(1, 4)), fails: true, then: Resuming},
 		"resuming, an event without ID":      {state: Resuming, comes: bytesOf("data: e3\n\n"), fails: true, then: Resuming},
 		"resuming, a comment":                {state: Resuming, comes: bytesOf(": busy\n\n"), then: Resuming},
 		"resuming, it ends":                  {state: Resuming, comes: end, fails: true, then: Resuming},
-		"resuming, it breaks":                {state: Resuming, comes: breakOff, then: Broken},
-		"ended, another head":                {state: Ended, comes: headOf(eventHead), fails: true, then: Ended},
-		"ended, it breaks":                   {state: Ended, comes: breakOff, then: Ended},
+		"resuming, it breaks":                {state: Resuming, comes: breakOff, then: Interrupted},
+		"ended, another head":                {state: Complete, comes: headOf(eventHead), fails: true, then: Complete},
+		"ended, it breaks":                   {state: Complete, comes: breakOff, then: Complete},
 	} {
 		stream := in(t, row.state, !row.once)
-		if row.state == Opened {
+		if row.state == Pending {
 			assert.NilError(t, stream.Begin(eventHead), name)
 		}
 		passed, err := row.comes(stream)
@@ -123,15 +123,15 @@
 	t.Parallel()
 	for _, resumable := range []bool{true, false} {
 		for _, part := range []string{"id: 3\ndata: e", "id: 3\ndata: e3\n", "i", "data"} {
-			stream := in(t, Passing, resumable)
-			_, err := stream.Bytes([]byte(part))
+			stream := in(t, Forwarding, resumable)
+			_, err := stream.Feed([]byte(part))
 			assert.NilError(t, err)
 			_, err = stream.End()
-			var damaged *ErrDamaged
+			var damaged *ErrCorrupt
 			assert.Assert(t, errors.As(err, &damaged), "%q, resumable %t", part, resumable)
 		}
-		stream := in(t, Passing, resumable)
-		_, err := stream.Bytes([]byte(": goodbye\n"))
+		stream := in(t, Forwarding, resumable)
+		_, err := stream.Feed([]byte(": goodbye\n"))
 		assert.NilError(t, err)
 		rest, err := stream.End()
 		assert.NilError(t, err)
@@ -145,29 +145,29 @@
 	t.Parallel()
 	stream := New(Options{Resumable: true})
 	assert.NilError(t, stream.Begin(Head{Status: 500, MediaType: "text/plain"}))
-	passed, err := stream.Bytes([]byte("out of"))
+	passed, err := stream.Feed([]byte("out of"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(passed), 0)
-	stream.Break()
-	assert.Assert(t, stream.MayResume())
+	stream.Interrupt()
+	assert.Assert(t, stream.CanResume())
 	assert.NilError(t, stream.Begin(Head{Status: 500, MediaType: "text/plain"}))
-	_, err = stream.Bytes([]byte("no memory\n\n"))
+	_, err = stream.Feed([]byte("no memory\n\n"))
 	assert.NilError(t, err)
 	rest, err := stream.End()
 	assert.NilError(t, err)
 	assert.Equal(t, string(rest), "no memory\n\n")
-	assert.Equal(t, stream.State(), Ended)
-	assert.Equal(t, stream.Started(), 0)
+	assert.Equal(t, stream.State(), Complete)
+	assert.Equal(t, stream.EventsStarted(), 0)
 }
 
 func TestStreamAfterAnEventWithoutIDCanNotBeResumed(t *testing.T) {
 	t.Parallel()
-	stream := in(t, Passing, true)
-	passed, err := stream.Bytes([]byte("data: e3\n\n"))
+	stream := in(t, Forwarding, true)
+	passed, err := stream.Feed([]byte("data: e3\n\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, string(passed), "data: e3\n\n")
-	stream.Break()
-	assert.Assert(t, !stream.MayResume())
+	stream.Interrupt()
+	assert.Assert(t, !stream.CanResume())
 	assert.Assert(t, stream.Begin(eventHead) != nil)
 }
 
@@ -176,20 +176,20 @@
 	t.Parallel()
 	stream := New(Options{Resumable: true, LastEvent: "2"})
 	assert.NilError(t, stream.Begin(eventHead))
-	stream.Break()
+	stream.Interrupt()
 	assert.Equal(t, stream.LastEvent(), "2")
 	for _, wrong := range []string{eventText(1, 3), eventText(2, 2), "data: e3\n\n", "", ": busy\n\n"} {
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err := stream.Bytes([]byte(wrong))
+		passed, err := stream.Feed([]byte(wrong))
 		if err == nil {
 			passed, err = stream.End()
 		}
 		assert.Assert(t, err != nil, wrong)
 		assert.Equal(t, len(passed), 0)
-		stream.Break()
+		stream.Interrupt()
 	}
 	assert.NilError(t, stream.Begin(eventHead))
-	passed, err := stream.Bytes([]byte(eventText(3, 4)))
+	passed, err := stream.Feed([]byte(eventText(3, 4)))
 	assert.NilError(t, err)
 	assert.Equal(t, string(passed), eventText(3, 4))
 }
@@ -201,13 +201,13 @@
 	for version, fits := range map[string]bool{"7": false, "8": true, "9": false, "": true} {
 		stream := New(Options{Resumable: true, VersionField: "weights"})
 		assert.NilError(t, stream.Begin(Head{Status: 200, MediaType: MediaType, Version: "7"}))
-		_, err := stream.Bytes([]byte(eventText(1, 1) + "weights: 8\n" + eventText(2, 2)))
+		_, err := stream.Feed([]byte(eventText(1, 1) + "weights: 8\n" + eventText(2, 2)))
 		assert.NilError(t, err)
-		stream.Break()
+		stream.Interrupt()
 		err = stream.Begin(Head{Status: 200, MediaType: MediaType, Version: version})
 		var mismatch *ErrMismatch
 		assert.Equal(t, errors.As(err, &mismatch), !fits, "version %q: %v", version, err)
-		assert.Equal(t, stream.MayResume(), fits, "version %q", version)
+		assert.Equal(t, stream.CanResume(), fits, "version %q", version)
 	}
 }
 
@@ -221,15 +221,15 @@
 		"broken after the known part":  {eventText(1, 2) + "id", eventText(3, 4)},
 		"broken in the new part":       {eventText(1, 3) + "id", eventText(4, 4)},
 	} {
-		stream := New(Options{Resumable: true, Keep: true, LastEvent: "2", FromStart: true})
+		stream := New(Options{Resumable: true, KeepOutput: true, LastEvent: "2", FromStart: true})
 		got := ""
 		for index, body := range runs {
 			assert.NilError(t, stream.Begin(eventHead), name)
-			passed, err := stream.Bytes([]byte(body))
+			passed, err := stream.Feed([]byte(body))
 			assert.NilError(t, err, name)
 			got += string(passed)
 			if index < len(runs)-1 {
-				stream.Break()
+				stream.Interrupt()
 				continue
 			}
 			_, err = stream.End()
@@ -237,7 +237,7 @@
 		}
 		assert.Equal(t, got, eventText(3, 4), name)
 		assert.Equal(t, string(stream.Output()), "e1\ne2\ne3\ne4\n", name)
-		assert.Equal(t, stream.Passed(), 2, name)
+		assert.Equal(t, stream.EventsForwarded(), 2, name)
 	}
 }
 
@@ -248,16 +248,16 @@
 		"never comes":                    {eventText(3, 4)},
 		"breaks after it, then is empty": {eventText(1, 2) + "id", ""},
 	} {
-		stream := New(Options{Resumable: true, Keep: true, LastEvent: "2", FromStart: true})
+		stream := New(Options{Resumable: true, KeepOutput: true, LastEvent: "2", FromStart: true})
 		var err error
 		for index, body := range runs {
 			assert.NilError(t, stream.Begin(eventHead), name)
-			_, err = stream.Bytes([]byte(body))
+			_, err = stream.Feed([]byte(body))
 			if err == nil && index == len(runs)-1 {
 				_, err = stream.End()
 			}
 			if index < len(runs)-1 {
-				stream.Break()
+				stream.Interrupt()
 			}
 		}
 		assert.Assert(t, err != nil, name)
@@ -267,12 +267,12 @@
 func TestOnlyWhatHasPassedIsCounted(t *testing.T) {
 	t.Parallel()
 	for resumable, started := range map[bool]int{true: 2, false: 3} {
-		stream := in(t, Passing, resumable)
-		_, err := stream.Bytes([]byte("id: 3\ndata: e"))
+		stream := in(t, Forwarding, resumable)
+		_, err := stream.Feed([]byte("id: 3\ndata: e"))
 		assert.NilError(t, err)
-		assert.Equal(t, stream.Started(), started)
-		stream.Break()
-		assert.Equal(t, stream.Started(), started)
+		assert.Equal(t, stream.EventsStarted(), started)
+		stream.Interrupt()
+		assert.Equal(t, stream.EventsStarted(), started)
 	}
 }
 
@@ -284,9 +284,9 @@
 		piece := []byte(strings.Repeat("x", 1<<20))
 		var err error
 		for sent := 0; err == nil && sent <= 2*maximalHeldBytes; sent += len(piece) {
-			_, err = stream.Bytes(piece)
+			_, err = stream.Feed(piece)
 		}
-		var damaged *ErrDamaged
+		var damaged *ErrCorrupt
 		assert.Assert(t, errors.As(err, &damaged))
 	}
 }
@@ -333,21 +333,21 @@
 	for seed := range uint64(20000) {
 		random := rand.New(rand.NewPCG(seed, 32))
 		truth := eventText(1, 1+random.IntN(6))
-		stream := New(Options{Resumable: true, Keep: true})
+		stream := New(Options{Resumable: true, KeepOutput: true})
 		var got strings.Builder
 		for range 6 {
 			lastEvent := strings.Count(got.String(), "\n\n")
 			playRandomRun(random, stream, newRandomRun(random, truth, lastEvent), &got)
-			if stream.State() == Ended || !stream.MayResume() {
+			if stream.State() == Complete || !stream.CanResume() {
 				break
 			}
 		}
-		if stream.Passed() == 0 {
+		if stream.EventsForwarded() == 0 {
 			continue
 		}
 		assert.Assert(t, strings.HasPrefix(truth, got.String()) && strings.HasSuffix(got.String(), "\n\n"), "seed %d: %q", seed, got.String())
-		assert.Equal(t, stream.Started(), strings.Count(got.String(), "\n\n"), "seed %d", seed)
-		if stream.State() == Ended {
+		assert.Equal(t, stream.EventsStarted(), strings.Count(got.String(), "\n\n"), "seed %d", seed)
+		if stream.State() == Complete {
 			assert.Equal(t, got.String(), truth, "seed %d", seed)
 			ended++
 			continue
@@ -362,7 +362,7 @@
 	take := func(passed []byte, err error) bool {
 		got.Write(passed)
 		if err != nil {
-			stream.Break()
+			stream.Interrupt()
 		}
 		return err == nil
 	}
@@ -371,13 +371,13 @@
 	}
 	for rest := run.body; rest != ""; {
 		size := 1 + random.IntN(len(rest))
-		if !take(stream.Bytes([]byte(rest[:size]))) {
+		if !take(stream.Feed([]byte(rest[:size]))) {
 			return
 		}
 		rest = rest[size:]
 	}
 	if !run.whole {
-		stream.Break()
+		stream.Interrupt()
 		return
 	}
 	take(stream.End())
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -40,7 +40,7 @@
 		return caller, apierr.New(apierr.InvalidRequest, apierr.NotRun, "no ID")
 	}
 	if millis, err := strconv.Atoi(header.Get("Patience")); err == nil {
-		caller.Patience = time.Duration(millis) * time.Millisecond
+		caller.TimeLimit = time.Duration(millis) * time.Millisecond
 	}
 	if budget, err := strconv.ParseInt(header.Get("Budget"), 10, 64); err == nil {
 		caller.Budget = budget
@@ -163,7 +163,7 @@
 	created.network = transport.New(transport.Options{Cluster: "test", NodeID: "gateway", Logger: events.Discard()})
 	t.Cleanup(created.network.Close)
 	created.node = NewNode(NodeOptions{
-		Zone: "a", Vocabulary: testProtocol{}, Protocol: testProtocol{}, Dial: upstream.Dialer(time.Second, time.Second),
+		Zone: "a", CallerProtocol: testProtocol{}, Protocol: testProtocol{}, Dial: upstream.Dialer(time.Second, time.Second),
 		CacheBytes: 1 << 20, Seeds: func() []string { return nil }, Network: created.network, Logger: logger,
 	})
 	created.front = httptest.NewUnstartedServer(nil)
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -104,10 +104,10 @@
 func (r *request) identity() []events.Field {
 	fields := []events.Field{
 		events.F("request", r.caller.ID), events.F("program", r.caller.Program), events.F("session", r.caller.Session),
-		events.F("previous", r.caller.Previous), events.F("patience_millis", r.caller.Patience.Milliseconds()),
+		events.F("previous", r.caller.Previous), events.F("patience_millis", r.caller.TimeLimit.Milliseconds()),
 	}
-	if r.caller.ProgramTimed {
-		fields = append(fields, events.F("program_left_millis", r.caller.ProgramPatience.Milliseconds()))
+	if r.caller.HasProgramTimeLimit {
+		fields = append(fields, events.F("program_left_millis", r.caller.ProgramTimeLimit.Milliseconds()))
 	}
 	if r.route != nil {
 		fields = append(fields, events.F("route", r.route.Name()), events.F("service", r.service.Name))
--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -39,12 +39,12 @@
 
 // NodeOptions configure a Node.
 type NodeOptions struct {
-	Zone       string
-	Vocabulary Vocabulary
-	Protocol   dispatch.Protocol
-	Dial       func(ctx context.Context, address string) (net.Conn, error)
-	CacheBytes int64
-	Source     catalog.Source
+	Zone           string
+	CallerProtocol CallerProtocol
+	Protocol       dispatch.Protocol
+	Dial           func(ctx context.Context, address string) (net.Conn, error)
+	CacheBytes     int64
+	Source         catalog.Source
 	// StaleAfter is the age from which contact with the store does not count as fresh.
 	StaleAfter time.Duration
 	// FirstStart is true only at the very first start of the whole system.
@@ -86,7 +86,7 @@
 		FirstStart: options.FirstStart, OnOutage: registry.NoteOutage,
 	}, options.Network, options.Logger)
 	node.server = New(Options{
-		Table: node.table.Load, Settled: node.settled, Vocabulary: options.Vocabulary, Registry: node.registry, Turns: node.turns,
+		Table: node.table.Load, RoutesReady: node.settled, CallerProtocol: options.CallerProtocol, Registry: node.registry, Turns: node.turns,
 		Dispatcher: dispatch.New(node.registry, options.Protocol, options.Logger), Logger: options.Logger, Metrics: options.Metrics,
 		CatalogAge: node.catalog.Age,
 	})
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -38,14 +38,14 @@
 // Caller is what a caller's headers say.
 type Caller struct {
 	ID string
-	// Patience is how long the caller waits; 0 if it didn't say.
-	Patience time.Duration
-	Program  string
-	Session  string
-	// ProgramPatience is the time left for the whole program, 0 if it is over; ProgramTimed tells whether the caller
+	// TimeLimit is how long the caller waits; 0 if it didn't say.
+	TimeLimit time.Duration
+	Program   string
+	Session   string
+	// ProgramTimeLimit is the time left for the whole program, 0 if it is over; HasProgramTimeLimit tells whether the caller
 	// named it.
-	ProgramPatience time.Duration
-	ProgramTimed    bool
+	ProgramTimeLimit    time.Duration
+	HasProgramTimeLimit bool
 	// Budget is NoBudget or what the program's turns may generate together, in tokens.
 	Budget int64
 	// Most is the most that this request may generate, in tokens.
@@ -58,8 +58,8 @@
 	Prompt dispatch.Prompt
 }
 
-// Vocabulary reads callers' headers; it varies between platforms.
-type Vocabulary interface {
+// CallerProtocol reads callers' headers; it varies between platforms.
+type CallerProtocol interface {
 	// Caller reads the headers; the error is an apierr.Error with the code InvalidRequest.
 	Caller(header http.Header) (Caller, error)
 	// WeightsVersion names the header of an answer, and the field of an event, that tell the version of the weights
@@ -71,15 +71,15 @@
 type Options struct {
 	// Table returns the routes in force; nil before there are any.
 	Table func() *routing.Table
-	// Settled tells whether the routes are those that a request is to be handled by: there are some, and they are not older
+	// RoutesReady tells whether the routes are those that a request is to be handled by: there are some, and they are not older
 	// than what this node may have had before it was restarted, as far as it can find out.
-	Settled    func() bool
-	Vocabulary Vocabulary
-	Dispatcher *dispatch.Dispatcher
-	Registry   *dispatch.Registry
-	Turns      *turnstore.Client
-	Logger     *events.Logger
-	Metrics    *Metrics
+	RoutesReady    func() bool
+	CallerProtocol CallerProtocol
+	Dispatcher     *dispatch.Dispatcher
+	Registry       *dispatch.Registry
+	Turns          *turnstore.Client
+	Logger         *events.Logger
+	Metrics        *Metrics
 	// CatalogAge is how old the node's knowledge of configuration and engines may be.
 	CatalogAge func() time.Duration
 }
@@ -181,7 +181,7 @@
 		return apierr.New(apierr.NotFound, apierr.NotRun, "no route for %s%s", r.http.Host, r.http.URL.Path)
 	}
 	r.route = route
-	caller, err := r.server.options.Vocabulary.Caller(r.http.Header)
+	caller, err := r.server.options.CallerProtocol.Caller(r.http.Header)
 	if err != nil {
 		return err
 	}
@@ -236,8 +236,8 @@
 // deadline is when the caller, or the route, gives the request up.
 func (r *request) deadline() time.Time {
 	limit := r.route.Timeout()
-	if r.caller.Patience > 0 {
-		limit = min(limit, r.caller.Patience)
+	if r.caller.TimeLimit > 0 {
+		limit = min(limit, r.caller.TimeLimit)
 	}
 	return r.arrivedAt.Add(limit)
 }
--- a/internal/ingress/start.go
+++ b/internal/ingress/start.go
@@ -18,14 +18,14 @@
 // before its restart, waits for them a little.
 func (r *request) awaitRoutes() *routing.Table {
 	options := r.server.options
-	if options.Settled() {
+	if options.RoutesReady() {
 		return options.Table()
 	}
 	hold := time.NewTimer(startHold)
 	defer hold.Stop()
 	step := time.NewTicker(startStep)
 	defer step.Stop()
-	for !options.Settled() {
+	for !options.RoutesReady() {
 		select {
 		case <-step.C:
 		case <-hold.C:
--- a/internal/ingress/starting_test.go
+++ b/internal/ingress/starting_test.go
@@ -90,7 +90,7 @@
 		}})
 	t.Cleanup(network.Close)
 	node := NewNode(NodeOptions{
-		Zone: "a", Vocabulary: testProtocol{}, Protocol: testProtocol{}, Dial: upstream.Dialer(time.Second, time.Second), CacheBytes: 1 << 20,
+		Zone: "a", CallerProtocol: testProtocol{}, Protocol: testProtocol{}, Dial: upstream.Dialer(time.Second, time.Second), CacheBytes: 1 << 20,
 		Seeds: func() []string { return []string{near, far} }, Network: network, Logger: events.Discard(), StaleAfter: staleAfter,
 	})
 	server := httptest.NewUnstartedServer(nil)
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -40,12 +40,12 @@
 // relayStream passes events on as they come. The end of the answer goes out only once the turn is
 // kept.
 func (r *request) relayStream(ctx context.Context, call *dispatch.Call) error {
-	_, versionField := r.server.options.Vocabulary.WeightsVersion()
+	_, versionField := r.server.options.CallerProtocol.WeightsVersion()
 	// Of a kept turn that its caller takes up again, the engine is asked for all: kept as the turn, the rest alone would be
 	// given to engines as the whole answer.
 	call.FromStart = r.route.Repeatable() && r.route.Kept() && r.caller.LastEvent != ""
 	passed := &stream{request: r, life: eventstream.New(eventstream.Options{
-		Resumable: r.route.Repeatable(), Keep: r.route.Kept(), LastEvent: r.caller.LastEvent, FromStart: call.FromStart,
+		Resumable: r.route.Repeatable(), KeepOutput: r.route.Kept(), LastEvent: r.caller.LastEvent, FromStart: call.FromStart,
 		VersionField: versionField,
 	})}
 	if r.route.Repeatable() {
@@ -56,7 +56,7 @@
 		return passed.relay()
 	})
 	// A turn is kept only if its stream has ended: the status alone is that of the first run, of which the rest may be missing.
-	whole := err == nil && passed.life.State() == eventstream.Ended
+	whole := err == nil && passed.life.State() == eventstream.Complete
 	if whole && r.route.Kept() && r.status < http.StatusMultipleChoices {
 		err = passed.keep()
 	} else {
@@ -101,7 +101,7 @@
 
 // headOf is what counts of an answer's head.
 func (s *stream) headOf(response *http.Response) eventstream.Head {
-	versionHeader, _ := s.request.server.options.Vocabulary.WeightsVersion()
+	versionHeader, _ := s.request.server.options.CallerProtocol.WeightsVersion()
 	mediaType, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
 	head := eventstream.Head{Status: response.StatusCode, MediaType: strings.ToLower(strings.TrimSpace(mediaType))}
 	if versionHeader != "" {
@@ -112,9 +112,9 @@
 
 // pass gives the stream a part of the run's body, and the caller what comes out of it.
 func (s *stream) pass(chunk []byte) error {
-	before := s.life.Passed()
-	passed, damage := s.life.Bytes(chunk)
-	s.observe(s.life.Passed() - before)
+	before := s.life.EventsForwarded()
+	passed, damage := s.life.Feed(chunk)
+	s.observe(s.life.EventsForwarded() - before)
 	if len(passed) > 0 {
 		if err := s.write(passed); err != nil {
 			return err
@@ -128,9 +128,9 @@
 
 // end passes on what is left once the run's body has ended whole, if that is the end of the stream.
 func (s *stream) end() error {
-	before := s.life.Passed()
+	before := s.life.EventsForwarded()
 	rest, damage := s.life.End()
-	s.observe(s.life.Passed() - before)
+	s.observe(s.life.EventsForwarded() - before)
 	if len(rest) > 0 {
 		if err := s.write(rest); err != nil {
 			return err
@@ -144,19 +144,19 @@
 
 // broken ends a run that did not bring the stream to its end. Another one may follow if it is known where it is to go on.
 func (s *stream) broken(cause error) error {
-	s.life.Break()
+	s.life.Interrupt()
 	var mismatch *eventstream.ErrMismatch
 	if errors.As(cause, &mismatch) {
-		return dispatch.BrokenByCaller(!s.life.MayResume(), cause)
+		return dispatch.BrokenByCaller(!s.life.CanResume(), cause)
 	}
-	return dispatch.Broken(!s.life.MayResume(), cause)
+	return dispatch.Broken(!s.life.CanResume(), cause)
 }
 
 // LastEvent implements dispatch.Resumable.
 func (s *stream) LastEvent() string { return s.life.LastEvent() }
 
 // Events implements dispatch.Resumable.
-func (s *stream) Events() int { return s.life.Passed() }
+func (s *stream) Events() int { return s.life.EventsForwarded() }
 
 // Resumed implements dispatch.Resumable.
 func (s *stream) Resumed(resumption dispatch.Resumption) {
@@ -220,7 +220,7 @@
 
 // generated is how many tokens the caller may have got.
 func (s *stream) generated() int64 {
-	return int64(s.life.Started()) * int64(s.request.service.TokensPerEvent)
+	return int64(s.life.EventsStarted()) * int64(s.request.service.TokensPerEvent)
 }
 
 // keep writes the turn and its charge.
--- a/internal/ingress/streamend.go
+++ b/internal/ingress/streamend.go
@@ -33,7 +33,7 @@
 
 // ending tells how a stream ended whose dispatch ended with err.
 func (s *stream) ending(ctx context.Context, err error) *streamEnding {
-	return &streamEnding{way: s.wayOfEnding(ctx, err), runs: s.runs, whole: s.life.Passed(), lastEvent: s.life.LastEvent()}
+	return &streamEnding{way: s.wayOfEnding(ctx, err), runs: s.runs, whole: s.life.EventsForwarded(), lastEvent: s.life.LastEvent()}
 }
 
 func (s *stream) wayOfEnding(ctx context.Context, err error) string {
@@ -46,7 +46,7 @@
 		return endedWhole
 	case errors.As(err, &gone), s.request.http.Context().Err() != nil:
 		return cutByCaller
-	case errors.As(err, &withdrawn), s.life.State() == eventstream.Ended:
+	case errors.As(err, &withdrawn), s.life.State() == eventstream.Complete:
 		return cutByGateway
 	case ctx.Err() != nil:
 		return cutByDeadline
