--- a/internal/eventstream/order.go
+++ b/internal/eventstream/order.go
@@ -2,46 +2,46 @@
 
 import "strings"
 
-// maximalRememberedIDs bounds how many IDs without an order are remembered of one stream.
-const maximalRememberedIDs = 4096
+// maxTrackedIDs bounds the non-numeric event IDs that are tracked per stream.
+const maxTrackedIDs = 4096
 
-// idOrder tells whether an event may come after those that a caller has. IDs that are whole numbers rise. Others have
-// no order: they must not come twice.
+// idOrder detects repeated events by their IDs. Numeric IDs must increase; other IDs must not
+// repeat.
 type idOrder struct {
-	// greatest is the highest number, without leading zeros; empty if there was none.
-	greatest string
-	// names are the IDs that are no numbers; overflown tells that there were more than are remembered.
-	names     map[string]struct{}
-	overflown bool
+	// highest is the highest numeric ID without leading zeros; empty if there was none.
+	highest string
+	// seen holds the non-numeric IDs; overflowed is set once there were more than maxTrackedIDs.
+	seen       map[string]struct{}
+	overflowed bool
 }
 
-// allows tells whether the ID may come next.
-func (o *idOrder) allows(id string) bool {
-	if number, ok := numberOf(id); ok {
-		return o.greatest == "" || numberLess(o.greatest, number)
+// mayFollow reports whether an event with this ID may come next.
+func (o *idOrder) mayFollow(id string) bool {
+	if number, ok := parseNumber(id); ok {
+		return o.highest == "" || numberLess(o.highest, number)
 	}
-	_, seen := o.names[id]
-	return !seen
+	_, known := o.seen[id]
+	return !known
 }
 
-// take remembers an ID.
-func (o *idOrder) take(id string) {
-	if number, ok := numberOf(id); ok {
-		o.greatest = number
+// record adds the ID of a received event.
+func (o *idOrder) record(id string) {
+	if number, ok := parseNumber(id); ok {
+		o.highest = number
 		return
 	}
-	if len(o.names) >= maximalRememberedIDs {
-		o.overflown = true
+	if len(o.seen) >= maxTrackedIDs {
+		o.overflowed = true
 		return
 	}
-	if o.names == nil {
-		o.names = make(map[string]struct{})
+	if o.seen == nil {
+		o.seen = make(map[string]struct{})
 	}
-	o.names[id] = struct{}{}
+	o.seen[id] = struct{}{}
 }
 
-// numberOf returns the digits of a whole number without its leading zeros.
-func numberOf(id string) (number string, ok bool) {
+// parseNumber returns the digits of a non-negative integer without leading zeros.
+func parseNumber(id string) (number string, ok bool) {
 	if id == "" || strings.Trim(id, "0123456789") != "" {
 		return "", false
 	}
@@ -52,7 +52,7 @@
 	return number, true
 }
 
-// numberLess compares whole numbers of any length.
+// numberLess compares decimal integers of any length.
 func numberLess(first, second string) bool {
 	if len(first) != len(second) {
 		return len(first) < len(second)
--- a/internal/eventstream/order_test.go
+++ b/internal/eventstream/order_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// idText is the text of events with these IDs.
+// idText returns events with these IDs.
 func idText(ids ...string) string {
 	var text strings.Builder
 	for _, id := range ids {
@@ -16,45 +16,45 @@
 	return text.String()
 }
 
-// An engine that does not know where a stream is to go on begins it anew. Whatever the IDs look like, the caller must not get an
-// event that it has.
-func TestRunThatBeginsAnewIsNotTheRest(t *testing.T) {
+// An engine that ignores the position to resume from sends the stream from its start. The caller
+// must not get an event twice, whatever the format of the IDs.
+func TestRestartedStreamIsRejected(t *testing.T) {
 	t.Parallel()
 	for name, ids := range map[string][]string{
 		"numbers":              {"1", "2", "3", "4"},
 		"leading zeros":        {"008", "009", "010", "011"},
 		"beyond 64 bits":       {"18446744073709551616", "18446744073709551617", "18446744073709551618", "18446744073709551619"},
-		"over the 64 bits":     {"18446744073709551614", "18446744073709551615", "18446744073709551616", "18446744073709551617"},
-		"names":                {"a", "b", "c", "d"},
-		"a number and a part":  {"run-1", "run-2", "run-3", "run-4"},
+		"across 64 bits":       {"18446744073709551614", "18446744073709551615", "18446744073709551616", "18446744073709551617"},
+		"words":                {"a", "b", "c", "d"},
+		"name and number":      {"run-1", "run-2", "run-3", "run-4"},
 		"negative":             {"-4", "-3", "-2", "-1"},
-		"timestamps and parts": {"1700000000-0", "1700000000-1", "1700000001-0", "1700000001-1"},
+		"timestamp and number": {"1700000000-0", "1700000000-1", "1700000001-0", "1700000001-1"},
 	} {
 		stream := New(Options{Resumable: true})
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err := stream.Feed([]byte(idText(ids[:2]...)))
+		output, err := stream.Feed([]byte(idText(ids[:2]...)))
 		assert.NilError(t, err, name)
-		got := string(passed)
+		got := string(output)
 		stream.Interrupt()
 		if !stream.CanResume() {
 			continue
 		}
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err = stream.Feed([]byte(idText(ids...)))
-		got += string(passed)
+		output, err = stream.Feed([]byte(idText(ids...)))
+		got += string(output)
 		assert.Check(t, err != nil && got == idText(ids[:2]...), "%s: the caller got %q", name, got)
 	}
 }
 
-// However the IDs look, the rest is the rest.
-func TestRestPassesWhateverItsIDs(t *testing.T) {
+// A valid continuation is forwarded whatever the format of its IDs.
+func TestContinuationIsForwarded(t *testing.T) {
 	t.Parallel()
 	for name, ids := range map[string][]string{
-		"numbers":          {"1", "2", "3", "4"},
-		"leading zeros":    {"008", "009", "010", "011"},
-		"beyond 64 bits":   {"18446744073709551616", "18446744073709551617", "18446744073709551618", "18446744073709551619"},
-		"over the 64 bits": {"18446744073709551614", "18446744073709551615", "18446744073709551616", "18446744073709551617"},
-		"gaps":             {"10", "20", "30", "40"},
+		"numbers":        {"1", "2", "3", "4"},
+		"leading zeros":  {"008", "009", "010", "011"},
+		"beyond 64 bits": {"18446744073709551616", "18446744073709551617", "18446744073709551618", "18446744073709551619"},
+		"across 64 bits": {"18446744073709551614", "18446744073709551615", "18446744073709551616", "18446744073709551617"},
+		"gaps":           {"10", "20", "30", "40"},
 	} {
 		stream := New(Options{Resumable: true})
 		assert.NilError(t, stream.Begin(eventHead))
@@ -63,27 +63,28 @@
 		stream.Interrupt()
 		assert.Assert(t, stream.CanResume(), name)
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err := stream.Feed([]byte(idText(ids[2:]...)))
+		output, err := stream.Feed([]byte(idText(ids[2:]...)))
 		assert.NilError(t, err, name)
-		assert.Equal(t, string(passed), idText(ids[2:]...), name)
+		assert.Equal(t, string(output), idText(ids[2:]...), name)
 	}
 }
 
-// What the standard of event streams allows passes as it is, and events end where it says.
-func TestStreamsOfTheStandardPassUnchanged(t *testing.T) {
+// Every form of the event stream standard is forwarded unchanged, and events end where the standard
+// says, at any split of the input.
+func TestStandardStreamsAreForwardedUnchanged(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
-		"line feeds":                "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
-		"carriage returns and feed": "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n",
-		"carriage returns":          "id: 1\rdata: a\r\rid: 2\rdata: b\r\r",
-		"byte order mark":           "\ufeffid: 1\ndata: a\n\nid: 2\ndata: b\n\n",
-		"several data lines":        "id: 1\ndata: a\ndata: a\n\nid: 2\ndata\n\n",
-		"comments":                  ": hello\n\nid: 1\ndata: a\n\n:\n\nid: 2\ndata: b\n\n: bye\n\n",
-		"comment at the end":        "id: 1\ndata: a\n\nid: 2\ndata: b\n\n: bye",
-		"pause before a retry":      "retry: 10\n\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nretry: 10\n\n",
-		"a retry at the end":        "id: 1\ndata: a\n\nid: 2\ndata: b\n\nretry: 10\n",
-		"a name without data":       "id: 1\ndata: a\n\nid: 2\ndata: b\n\nevent: done\n\n",
-		"empty lines at the end":    "id: 1\ndata: a\n\nid: 2\ndata: b\n\n\n\r\n",
+		"LF":                     "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
+		"CRLF":                   "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n",
+		"CR":                     "id: 1\rdata: a\r\rid: 2\rdata: b\r\r",
+		"byte order mark":        "\ufeffid: 1\ndata: a\n\nid: 2\ndata: b\n\n",
+		"multiple data lines":    "id: 1\ndata: a\ndata: a\n\nid: 2\ndata\n\n",
+		"comments":               ": hello\n\nid: 1\ndata: a\n\n:\n\nid: 2\ndata: b\n\n: bye\n\n",
+		"comment at the end":     "id: 1\ndata: a\n\nid: 2\ndata: b\n\n: bye",
+		"retry fields":           "retry: 10\n\nid: 1\ndata: a\n\nid: 2\ndata: b\n\nretry: 10\n\n",
+		"retry field at the end": "id: 1\ndata: a\n\nid: 2\ndata: b\n\nretry: 10\n",
+		"event without data":     "id: 1\ndata: a\n\nid: 2\ndata: b\n\nevent: done\n\n",
+		"empty lines at the end": "id: 1\ndata: a\n\nid: 2\ndata: b\n\n\n\r\n",
 	} {
 		for _, resumable := range []bool{true, false} {
 			for cut := range len(text) {
@@ -91,9 +92,9 @@
 				assert.NilError(t, stream.Begin(eventHead))
 				var got strings.Builder
 				for _, piece := range []string{text[:cut], text[cut:]} {
-					passed, err := stream.Feed([]byte(piece))
+					output, err := stream.Feed([]byte(piece))
 					assert.NilError(t, err, name)
-					got.Write(passed)
+					got.Write(output)
 				}
 				rest, err := stream.End()
 				got.Write(rest)
@@ -106,16 +107,16 @@
 	}
 }
 
-// What is remembered of a stream that passes through has a bound, too: an engine that sends no line feed must not take the node's memory.
-func TestLineThatNeverEndsIsNotHeld(t *testing.T) {
+// A line without an end must not exhaust memory, also if the stream is only passed through.
+func TestUnterminatedLineIsBounded(t *testing.T) {
 	t.Parallel()
 	stream := New(Options{})
 	assert.NilError(t, stream.Begin(eventHead))
 	piece := []byte(strings.Repeat("x", 1<<20))
-	for sent := 0; sent <= 2*maximalHeldBytes; sent += len(piece) {
+	for sent := 0; sent <= 2*maxBufferedBytes; sent += len(piece) {
 		if _, err := stream.Feed(piece); err != nil {
 			return
 		}
 	}
-	assert.Assert(t, len(stream.scanner.line) <= maximalHeldBytes, "%d bytes are held", len(stream.scanner.line))
+	assert.Assert(t, len(stream.scanner.line) <= maxBufferedBytes, "%d bytes are buffered", len(stream.scanner.line))
 }
--- a/internal/eventstream/scanner.go
+++ b/internal/eventstream/scanner.go
@@ -5,97 +5,101 @@
 // event is one event of a stream.
 type event struct {
 	id string
-	// data are its data lines, joined by line feeds; hasData tells that there was one.
+	// data is the event's data lines joined by line feeds; hasData is set if it has at least one.
 	data    []byte
 	hasData bool
-	// version is that of the weights if it changes with this event.
+	// version is the new version of the weights if it changes with this event.
 	version string
 }
 
-// scanner follows the bytes of an event stream and finds where events end. Lines end with a line feed, a carriage return, or
-// both.
+// scanner parses an event stream incrementally and finds the ends of events. Lines end with LF, CR
+// or CRLF.
 type scanner struct {
 	versionField string
-	// line is the part of a line that has arrived. A carriage return at its end may be the first half of a line's end.
+	// line is the received part of the current line. A CR at its end may be the first half of a
+	// CRLF.
 	line  []byte
 	event event
-	// fields tells that a line of the event has ended that belongs to it, unlike comments and pauses before a retry.
-	fields bool
-	// size is how many bytes of the event are remembered.
+	// hasFields is set once a complete line of the event had a field other than retry. Comments
+	// don't count.
+	hasFields bool
+	// size is the number of bytes received for the current event.
 	size int
-	// begun tells that a line of the body has ended: a byte order mark may stand before the first.
-	begun bool
+	// sawLine is set after the first line of the body, which may begin with a byte order mark.
+	sawLine bool
 }
 
 const (
-	// retryField tells how long a caller is to wait before it comes back.
-	retryField    = "retry"
-	lineEnds      = "\r\n"
-	byteOrderMark = "\ufeff"
+	// retryField sets the client's reconnection delay.
+	retryField      = "retry"
+	lineTerminators = "\r\n"
+	byteOrderMark   = "\ufeff"
 )
 
-// next takes bytes up to the end of an event, and tells whether one ended with them. The event stays until restart.
-func (s *scanner) next(chunk []byte) (taken int, ended bool) {
-	for taken < len(chunk) {
-		if s.returned() && chunk[taken] != '\n' {
-			// The carriage return alone was the line's end.
-			if s.endLine() {
-				return taken, true
+// next consumes bytes up to the end of an event and reports whether one is complete. The event
+// remains available until resetEvent.
+func (s *scanner) next(chunk []byte) (consumed int, complete bool) {
+	for consumed < len(chunk) {
+		if s.endsWithCR() && chunk[consumed] != '\n' {
+			// The CR alone terminated the line.
+			if s.finishLine() {
+				return consumed, true
 			}
 			continue
 		}
-		length := bytes.IndexAny(chunk[taken:], lineEnds)
+		length := bytes.IndexAny(chunk[consumed:], lineTerminators)
 		if length < 0 {
-			s.add(chunk[taken:])
+			s.appendPart(chunk[consumed:])
 			return len(chunk), false
 		}
-		s.add(chunk[taken : taken+length+1])
-		taken += length + 1
-		if !s.returned() && s.endLine() {
-			return taken, true
+		s.appendPart(chunk[consumed : consumed+length+1])
+		consumed += length + 1
+		if !s.endsWithCR() && s.finishLine() {
+			return consumed, true
 		}
 	}
-	return taken, false
+	return consumed, false
 }
 
-// add remembers a part of a line.
-func (s *scanner) add(part []byte) {
+// appendPart appends bytes to the current line.
+func (s *scanner) appendPart(part []byte) {
 	s.line = append(s.line, part...)
 	s.size += len(part)
 }
 
-// returned tells whether the line has a carriage return at its end.
-func (s *scanner) returned() bool {
+// endsWithCR reports whether the current line ends with a carriage return.
+func (s *scanner) endsWithCR() bool {
 	return len(s.line) > 0 && s.line[len(s.line)-1] == '\r'
 }
 
-// endLine reads the line, whose end has come, and tells whether it is the one that ends an event.
-func (s *scanner) endLine() bool {
-	line := bytes.TrimRight(s.line, lineEnds)
-	if !s.begun {
+// finishLine parses the complete current line and reports whether it is the blank line that ends an
+// event.
+func (s *scanner) finishLine() bool {
+	line := bytes.TrimRight(s.line, lineTerminators)
+	if !s.sawLine {
 		line = bytes.TrimPrefix(line, []byte(byteOrderMark))
-		s.begun = true
+		s.sawLine = true
 	}
 	s.line = s.line[:0]
 	if len(line) == 0 {
 		return true
 	}
-	s.take(line)
+	s.parseField(line)
 	return false
 }
 
-// finish takes the end of the body, which may have come after a carriage return, and tells whether an event ended with it.
-func (s *scanner) finish() bool {
-	return s.returned() && s.endLine()
+// finishBody handles the end of the body and reports whether a trailing CR completed an event.
+func (s *scanner) finishBody() bool {
+	return s.endsWithCR() && s.finishLine()
 }
 
-// take reads one line of an event.
-func (s *scanner) take(line []byte) {
+// parseField parses one line of an event.
+func (s *scanner) parseField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	if len(name) == 0 {
 		return
 	}
-	s.fields = s.fields || string(name) != retryField
+	s.hasFields = s.hasFields || string(name) != retryField
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
 	case "id":
@@ -111,22 +115,23 @@
 	}
 }
 
-// restart forgets the event; the next one is of the same body.
-func (s *scanner) restart() {
+// resetEvent prepares for the next event of the same body.
+func (s *scanner) resetEvent() {
 	s.line = s.line[:0]
 	s.event = event{data: s.event.data[:0]}
-	s.fields = false
+	s.hasFields = false
 	s.size = 0
 }
 
-// restartBody forgets what has come of a body; another one begins.
-func (s *scanner) restartBody() {
-	s.restart()
-	s.begun = false
+// resetBody prepares for a new body.
+func (s *scanner) resetBody() {
+	s.resetEvent()
+	s.sawLine = false
 }
 
-// open tells whether a part of an event has come and its end has not. Comments are no part.
-func (s *scanner) open() bool {
-	line := bytes.TrimRight(s.line, lineEnds)
-	return s.fields || (len(line) > 0 && line[0] != ':')
+// inEvent reports whether an event has begun and is not complete. Comments are not part of an
+// event.
+func (s *scanner) inEvent() bool {
+	line := bytes.TrimRight(s.line, lineTerminators)
+	return s.hasFields || (len(line) > 0 && line[0] != ':')
 }
--- a/internal/eventstream/stream.go
+++ b/internal/eventstream/stream.go
@@ -1,121 +1,127 @@
-// Package eventstream owns the life of one answer that is a stream of events (text/event-stream): which bytes of which run
-// the caller gets, where another run may go on after one that broke off, and when the answer is complete. It is a state
-// machine without clock, goroutine or I/O.
+// Package eventstream tracks one response that is a stream of server-sent events (text/event-stream). It decides
+// which bytes of which attempt are forwarded to the caller, after which event another attempt may continue an interrupted
+// stream, and when the response is complete. It is a state machine without clock, goroutines or I/O.
 //
-// A stream is read from one run of an engine or from several, each of which goes on after the last event of those
-// before. The caller gets the first run's head, each event once, in order, and an end only if the last run has ended whole
-// and brought something.
+// A stream is read from one or more attempts at engines, each continuing after the last event of the previous ones. The
+// caller gets the first attempt's head, each event once and in order, and an end only if the last attempt ended completely
+// and brought an event.
 //
-//	Opened, End ────────────────────────────────> Ended
-//	Opened, Bytes that pass ────────────────────> Passing
-//	Opened, Break ──────────────────────────────> Opened
-//	Passing, End ───────────────────────────────> Ended
-//	Passing, Break ─────────────────────────────> Broken
-//	Broken, Begin with the head of the rest ────> Resuming
-//	Resuming, an event after the caller's last ─> Passing
-//	Resuming, Break ────────────────────────────> Broken
+//	Pending, End ───────────────────────────────────> Complete
+//	Pending, Feed that returns bytes ───────────────> Forwarding
+//	Pending, Interrupt ─────────────────────────────> Pending
+//	Forwarding, End ────────────────────────────────> Complete
+//	Forwarding, Interrupt ──────────────────────────> Interrupted
+//	Interrupted, Begin with a matching head ────────> Resuming
+//	Resuming, an event after the caller's last one ─> Forwarding
+//	Resuming, Interrupt ────────────────────────────> Interrupted
 //
-// A stream that is given up stays Broken. After each error of Begin, Bytes or End, Break is to be called.
+// A stream that is given up stays Interrupted. Call Interrupt after each error of Begin, Feed or End.
 //
 // Usage:
 //
 //	stream := eventstream.New(eventstream.Options{Resumable: true})
-//	for each run that the engine is asked for, after stream.LastEvent() {
-//		err := stream.Begin(head)           // fails if the head is not that of the rest
-//		passed, err := stream.Bytes(chunk)  // passed is for the caller, also beside an error
-//		passed, err := stream.End()         // the body has ended whole
-//		stream.Break()                      // or the run has ended otherwise, or one of these failed
+//	for each attempt, which the engine is asked to continue after stream.LastEvent() {
+//		err := stream.Begin(head)            // fails if the head does not continue the stream
+//		output, err := stream.Feed(chunk)    // output is for the caller, also together with an error
+//		output, err := stream.End()          // after the complete body
+//		stream.Interrupt()                   // if the attempt ended early, or one of these failed
 //	}
-//	if stream.State() == eventstream.Ended { ... the answer is complete ... }
+//	if stream.State() == eventstream.Complete { ... the caller has the whole response ... }
 package eventstream
 
-// State is where a stream is in its life.
+// State is the state of a Stream.
 type State int
 
-// The states.
+// The states of a Stream.
 const (
-	// Pending means that nothing has passed to the caller: the next run's answer may be any.
+	// Pending means that nothing was forwarded to the caller; any response may come next.
 	Pending State = iota
-	// Forwarding means that bytes of the present run have passed.
+	// Forwarding means that bytes of the current attempt were forwarded.
 	Forwarding
-	// Interrupted means that a run broke off after bytes had passed.
+	// Interrupted means that an attempt ended early after bytes had been forwarded.
 	Interrupted
-	// Resuming means that the rest has begun to come, and none of its events has passed yet.
+	// Resuming means that a continuation has begun and none of its events was forwarded yet.
 	Resuming
-	// Complete means that the caller has the whole answer.
+	// Complete means that the caller has the whole response.
 	Complete
 )
 
 // String implements fmt.Stringer.
 func (s State) String() string {
-	return [...]string{"opened", "passing", "broken", "resuming", "ended"}[s]
+	return [...]string{"pending", "forwarding", "interrupted", "resuming", "complete"}[s]
 }
 
 const (
-	// MediaType is that of event streams.
+	// MediaType is the media type of event streams.
 	MediaType = "text/event-stream"
-	// maximalHeldBytes bounds what is held of one run: an event whose end has not come, or a failure's body. It is as much
-	// as a gateway holds of any other answer.
-	maximalHeldBytes = 16 << 20
+	// maxBufferedBytes bounds what is buffered of one attempt: an incomplete event or an error body. Other
+	// responses have the same limit.
+	maxBufferedBytes = 16 << 20
 )
 
-// Options are what is known of a stream before it begins.
+// Options configure a Stream.
 type Options struct {
-	// Resumable streams may go on in another run after their last event. Only whole events of them are passed on.
+	// Resumable allows another attempt to continue after the last forwarded event. Such streams are
+	// forwarded in whole events.
 	Resumable bool
-	// KeepOutput tells whether Output is wanted.
+	// KeepOutput collects the data of all events for Output.
 	KeepOutput bool
-	// LastEvent is the ID of the last event that the caller has from an answer before; empty if it has none.
+	// LastEvent is the ID of the last event that the caller has from an earlier response; empty if
+	// it has none.
 	LastEvent string
-	// FromStart tells that runs begin at the stream's start although the caller has a part of it, for Output is to be of all
-	// of it. What the caller has does not pass.
+	// FromStart means that attempts begin at the start of the stream although the caller has a part
+	// of it, so that Output is complete. Events that the caller has are not forwarded.
 	FromStart bool
-	// VersionField is the field of an event that tells that the weights change with it; empty if there is none.
+	// VersionField is the event field that announces a new version of the weights; empty if there
+	// is none.
 	VersionField string
 }
 
-// Head is what counts of the head of a run's answer.
+// Head holds the relevant parts of the head of an attempt's response.
 type Head struct {
 	Status int
-	// MediaType is that of the body, in lower case and without parameters.
+	// MediaType is the body's media type, in lower case and without parameters.
 	MediaType string
-	// Version is that of the weights; empty if the engine doesn't tell.
+	// Version is the version of the weights; empty if the engine doesn't send it.
 	Version string
 }
 
-// succeeds tells whether the answer is a success. Its events count whatever its type says.
-func (h Head) succeeds() bool { return h.Status >= 200 && h.Status < 300 }
+// isSuccess reports whether the status is 2xx. The body is then read as events whatever its media
+// type is.
+func (h Head) isSuccess() bool { return h.Status >= 200 && h.Status < 300 }
 
-// Stream is the life of one answer. It is not safe for concurrent use.
+// Stream tracks one response to a caller. It is not safe for concurrent use.
 type Stream struct {
 	options Options
 	state   State
-	// first is the head that the caller gets, present that of the present run.
-	first, present Head
-	scanner        scanner
-	// held are bytes that have not passed: of an event whose end has not come, or of a failure.
-	held []byte
-	out  []byte
-	// count is how many events have passed, taken how many have come, those that the caller had before included; brought
-	// tells that some came in the present run.
-	count, taken int
-	brought      bool
-	// lastID is the ID of the last event that was taken, numbered whether it had one; order is of all IDs, and version that
-	// of the weights which made the last event.
-	lastID   string
-	numbered bool
-	order    idOrder
-	version  string
-	output   []byte
-	// skipping tells that the caller has what comes.
+	// firstHead is the head that the caller gets, currentHead that of the current attempt.
+	firstHead, currentHead Head
+	scanner                scanner
+	// buffered holds bytes that were not forwarded: an incomplete event or an error body.
+	buffered []byte
+	// forward is the result of the last Feed or End.
+	forward []byte
+	// forwarded counts the events that were forwarded, received all events including those that the
+	// caller had before. attemptHasEvents is set once the current attempt brought an event.
+	forwarded, received int
+	attemptHasEvents    bool
+	// lastID is the ID of the last recorded event that had one; lastHasID is set if the last event
+	// had one. ids tracks all IDs. version is the version of the weights that generated the last
+	// event.
+	lastID    string
+	lastHasID bool
+	ids       idOrder
+	version   string
+	output    []byte
+	// skipping is set while events are received that the caller already has.
 	skipping bool
-	// mismatched tells that no run of the engine fits what the caller has.
-	mismatched bool
+	// incompatible is set once no attempt can continue what the caller has.
+	incompatible bool
 }
 
-// New returns a Stream of which the caller has got nothing yet.
+// New returns a Stream in the state Pending.
 func New(options Options) *Stream {
-	stream := &Stream{options: options, numbered: true}
+	stream := &Stream{options: options, lastHasID: true}
 	stream.scanner.versionField = options.VersionField
 	switch {
 	case options.LastEvent == "":
@@ -123,55 +129,58 @@
 		stream.skipping = true
 	default:
 		stream.lastID = options.LastEvent
-		stream.order.take(options.LastEvent)
+		stream.ids.record(options.LastEvent)
 	}
 	return stream
 }
 
-// State is where the stream is.
+// State returns the state of the stream.
 func (s *Stream) State() State { return s.state }
 
-// LastEvent is the ID of the event after which another run goes on; empty for the start of the stream.
+// LastEvent returns the ID of the event after which the next attempt has to continue; empty for the
+// start of the stream.
 func (s *Stream) LastEvent() string { return s.lastID }
 
-// EventsForwarded is how many whole events have passed.
-func (s *Stream) EventsForwarded() int { return s.count }
+// EventsForwarded returns the number of whole events that were forwarded.
+func (s *Stream) EventsForwarded() int { return s.forwarded }
 
-// EventsStarted is how many events the caller has got a part of, the whole ones included.
+// EventsStarted returns the number of events that were forwarded at least in part.
 func (s *Stream) EventsStarted() int {
-	if !s.options.Resumable && s.present.succeeds() && s.scanner.open() {
-		return s.count + 1
+	if !s.options.Resumable && s.currentHead.isSuccess() && s.scanner.inEvent() {
+		return s.forwarded + 1
 	}
-	return s.count
+	return s.forwarded
 }
 
-// Output is the data of each event that was taken, each followed by a line feed. It is empty unless Options.KeepOutput is set.
+// Output returns the data of all recorded events, each followed by a line feed. It is empty unless
+// Options.KeepOutput is set.
 func (s *Stream) Output() []byte { return s.output }
 
-// CanResume tells whether another run may follow the present one, which has broken off: the caller has got nothing, or it is
-// known after which event the other one is to go on.
+// CanResume reports whether another attempt may follow the interrupted one: nothing was forwarded,
+// or the event after which to continue is known.
 func (s *Stream) CanResume() bool {
 	if s.state == Pending {
 		return true
 	}
-	known := s.numbered && !s.order.overflown && !s.mismatched
-	return s.options.Resumable && s.first.succeeds() && known && s.state != Complete
+	positionKnown := s.lastHasID && !s.ids.overflowed && !s.incompatible
+	return s.options.Resumable && s.firstHead.isSuccess() && positionKnown && s.state != Complete
 }
 
-// Begin takes the head of a run's answer. Once bytes have passed, one that is not the head of the rest is an ErrNotContinuation or
-// an ErrMismatch: a failure of the engine is an answer only to a request that has none.
+// Begin starts an attempt with the head of its response. Once bytes were forwarded, it returns an
+// ErrNotContinuation or an ErrMismatch unless the head continues the stream: an engine's error
+// response may only be the first response of a request.
 func (s *Stream) Begin(head Head) error {
-	s.scanner.restartBody()
-	s.held = s.held[:0]
-	s.brought = false
-	s.present = head
+	s.scanner.resetBody()
+	s.buffered = s.buffered[:0]
+	s.attemptHasEvents = false
+	s.currentHead = head
 	switch s.state {
 	case Pending:
-		s.first = head
+		s.firstHead = head
 		s.version = head.Version
 		return nil
 	case Interrupted:
-		if err := s.isRest(head); err != nil {
+		if err := s.checkContinuation(head); err != nil {
 			return err
 		}
 		s.state = Resuming
@@ -180,203 +189,209 @@
 	return &ErrNotContinuation{Reason: "the stream is " + s.state.String(), Status: head.Status}
 }
 
-// isRest compares a head with that of the stream that it is to go on with.
-func (s *Stream) isRest(head Head) error {
+// checkContinuation compares a head with that of the stream that it is to continue.
+func (s *Stream) checkContinuation(head Head) error {
 	switch {
 	case !s.CanResume():
 		return &ErrNotContinuation{Reason: "the stream can't be resumed", Status: head.Status}
-	case head.Status != s.first.Status:
-		return &ErrNotContinuation{Reason: "its status is another", Status: head.Status}
-	case head.MediaType != s.first.MediaType:
-		return &ErrNotContinuation{Reason: "its type is " + head.MediaType, Status: head.Status}
+	case head.Status != s.firstHead.Status:
+		return &ErrNotContinuation{Reason: "its status differs", Status: head.Status}
+	case head.MediaType != s.firstHead.MediaType:
+		return &ErrNotContinuation{Reason: "its media type is " + head.MediaType, Status: head.Status}
 	case head.Version != s.version && head.Version != "" && s.version != "":
-		s.mismatched = true
-		return &ErrMismatch{Reason: "the engine's weights are of version " + head.Version + " now"}
+		s.incompatible = true
+		return &ErrMismatch{Reason: "the engine now has version " + head.Version + " of its weights"}
 	}
 	return nil
 }
 
-// Feed takes a part of the present run's body and returns what the caller is to get now, also beside an error; it is valid
-// until the next call. An ErrCorrupt means that the run can't be trusted from there on, an ErrMismatch that it does not fit
-// what the caller had before.
+// Feed takes a part of the current attempt's body and returns the bytes to forward now, also
+// together with an error; they are valid until the next call. After an ErrCorrupt the rest of the
+// attempt can't be used; an ErrMismatch means that it is incompatible with the events that the
+// caller has.
 func (s *Stream) Feed(chunk []byte) ([]byte, error) {
 	switch {
-	case !s.present.succeeds() && s.options.Resumable:
-		return nil, s.hold(chunk)
-	case !s.present.succeeds():
+	case !s.currentHead.isSuccess() && s.options.Resumable:
+		return nil, s.buffer(chunk)
+	case !s.currentHead.isSuccess():
 		s.state = Forwarding
 		return chunk, nil
 	case !s.options.Resumable:
 		return s.passThrough(chunk)
 	}
-	return s.passEvents(chunk)
+	return s.forwardEvents(chunk)
 }
 
-// hold keeps bytes back.
-func (s *Stream) hold(chunk []byte) error {
-	if len(s.held)+len(chunk) > maximalHeldBytes {
-		return &ErrCorrupt{Reason: "an event or a failure is larger than is held"}
+// buffer appends bytes that can't be forwarded yet.
+func (s *Stream) buffer(chunk []byte) error {
+	if len(s.buffered)+len(chunk) > maxBufferedBytes {
+		return &ErrCorrupt{Reason: "an event or an error body exceeds the buffer limit"}
 	}
-	s.held = append(s.held, chunk...)
+	s.buffered = append(s.buffered, chunk...)
 	return nil
 }
 
-// passThrough passes bytes as they come; events are only counted.
+// passThrough forwards bytes unchanged and only counts events.
 func (s *Stream) passThrough(chunk []byte) ([]byte, error) {
 	s.state = Forwarding
 	for rest := chunk; len(rest) > 0; {
-		taken, ended := s.scanner.next(rest)
-		rest = rest[taken:]
-		if ended {
-			s.take(s.scanner.event)
-			s.scanner.restart()
+		consumed, complete := s.scanner.next(rest)
+		rest = rest[consumed:]
+		if complete {
+			s.record(s.scanner.event)
+			s.scanner.resetEvent()
 		}
 	}
-	if s.scanner.size > maximalHeldBytes {
-		return chunk, &ErrCorrupt{Reason: "an event is larger than is remembered"}
+	if s.scanner.size > maxBufferedBytes {
+		return chunk, &ErrCorrupt{Reason: "an event exceeds the size limit"}
 	}
 	return chunk, nil
 }
 
-// passEvents passes whole events, each checked against those before.
-func (s *Stream) passEvents(chunk []byte) ([]byte, error) {
-	s.out = s.out[:0]
+// forwardEvents forwards whole events after checking each against the earlier ones.
+func (s *Stream) forwardEvents(chunk []byte) ([]byte, error) {
+	s.forward = s.forward[:0]
 	for len(chunk) > 0 {
-		taken, ended := s.scanner.next(chunk)
-		if err := s.hold(chunk[:taken]); err != nil {
-			return s.out, err
+		consumed, complete := s.scanner.next(chunk)
+		if err := s.buffer(chunk[:consumed]); err != nil {
+			return s.forward, err
 		}
-		chunk = chunk[taken:]
-		if !ended {
+		chunk = chunk[consumed:]
+		if !complete {
 			break
 		}
-		if err := s.passEvent(); err != nil {
-			return s.out, err
+		if err := s.forwardEvent(); err != nil {
+			return s.forward, err
 		}
 	}
-	return s.out, nil
+	return s.forward, nil
 }
 
-// passEvent takes the event whose end has come, and what was held of it passes.
-func (s *Stream) passEvent() error {
+// forwardEvent checks and records the complete event and forwards its buffered bytes.
+func (s *Stream) forwardEvent() error {
 	next := s.scanner.event
-	if err := s.follows(next); err != nil {
+	if err := s.checkOrder(next); err != nil {
 		return err
 	}
-	s.scanner.restart()
-	skipped := s.skipping
-	s.take(next)
+	s.scanner.resetEvent()
+	alreadySent := s.skipping
+	s.record(next)
 	switch {
-	case skipped:
+	case alreadySent:
 	case next.hasData, s.state != Resuming:
-		// What has no data, such as a comment, keeps a caller that waits from giving up: it passes at once. Only in a run
-		// that is to bring the rest it waits for an event, until which the run may not be the rest.
+		// Blocks without data, such as comments, keep a waiting caller's connection alive, so they
+		// are forwarded at once. A continuation is not confirmed before its first event; until then
+		// they stay buffered.
 		s.state = Forwarding
-		s.out = append(s.out, s.held...)
+		s.forward = append(s.forward, s.buffered...)
 	default:
 		return nil
 	}
-	s.held = s.held[:0]
+	s.buffered = s.buffered[:0]
 	return nil
 }
 
-// follows checks an event of a resumable stream against those that the caller has.
-func (s *Stream) follows(next event) error {
+// checkOrder checks an event of a resumable stream against those that the caller has.
+func (s *Stream) checkOrder(next event) error {
 	reason := ""
 	switch {
 	case !next.hasData:
-	case next.id == "" && s.unproved():
-		reason = "the first event after " + s.lastID + " has no ID"
-	case next.id != "" && !s.order.allows(next.id):
-		reason = "event " + next.id + " comes after " + s.lastID
+	case next.id == "" && s.unconfirmed():
+		reason = "the first event after event " + s.lastID + " has no ID"
+	case next.id != "" && !s.ids.mayFollow(next.id):
+		reason = "event " + next.id + " follows event " + s.lastID
 	}
 	switch {
 	case reason == "":
 		return nil
-	case s.count == 0 && s.lastID != "":
-		return &ErrMismatch{Reason: reason + ", which the caller named"}
+	case s.forwarded == 0 && s.lastID != "":
+		return &ErrMismatch{Reason: reason + ", the last event of the caller"}
 	}
 	return &ErrCorrupt{Reason: reason}
 }
 
-// unproved tells whether nothing has shown yet that the present run goes on after what the caller has.
-func (s *Stream) unproved() bool {
-	return s.state == Resuming || (s.count == 0 && s.options.LastEvent != "")
+// unconfirmed reports whether no event has shown yet that the current attempt continues after what
+// the caller has.
+func (s *Stream) unconfirmed() bool {
+	return s.state == Resuming || (s.forwarded == 0 && s.options.LastEvent != "")
 }
 
-// take counts an event that passes, unless the caller has it. What has no data is none.
-func (s *Stream) take(passed event) {
-	if !passed.hasData {
+// record counts an event and adds it to the output. Blocks without data are ignored.
+func (s *Stream) record(e event) {
+	if !e.hasData {
 		return
 	}
-	s.taken++
-	s.brought = true
-	s.numbered = passed.id != ""
-	if s.numbered {
-		s.lastID = passed.id
-		s.order.take(passed.id)
+	s.received++
+	s.attemptHasEvents = true
+	s.lastHasID = e.id != ""
+	if s.lastHasID {
+		s.lastID = e.id
+		s.ids.record(e.id)
 	}
-	if passed.version != "" {
-		s.version = passed.version
+	if e.version != "" {
+		s.version = e.version
 	}
 	if s.options.KeepOutput {
-		s.output = append(s.output, passed.data...)
+		s.output = append(s.output, e.data...)
 		s.output = append(s.output, '\n')
 	}
 	if s.skipping {
-		s.skipping = passed.id != s.options.LastEvent
+		s.skipping = e.id != s.options.LastEvent
 		return
 	}
-	s.count++
+	s.forwarded++
 }
 
-// End takes the end of the present run's body, which is whole by its framing, and returns what the caller is to get before
-// the end of its answer, also beside an error. An error means that this is not the end of the stream.
+// End takes the end of the current attempt's body, which is complete by its HTTP framing, and
+// returns the bytes to forward before the end of the response, also together with an error. An
+// error means that the stream is not complete.
 func (s *Stream) End() ([]byte, error) {
-	s.out = s.out[:0]
-	if !s.present.succeeds() {
+	s.forward = s.forward[:0]
+	if !s.currentHead.isSuccess() {
 		s.state = Complete
-		return s.held, nil
+		return s.buffered, nil
 	}
 	if err := s.finishEvent(); err != nil {
-		return s.out, err
+		return s.forward, err
 	}
 	switch {
-	case s.scanner.open() && (s.present.MediaType == MediaType || s.count > 0):
-		return s.out, &ErrCorrupt{Reason: "the answer ends within an event"}
-	case s.state == Resuming || s.state == Interrupted || (!s.brought && s.goesOn()):
-		// An engine that fails may end an answer before its first event. Taken for the rest, it would end the stream.
-		return s.out, &ErrNotContinuation{Reason: "it brought no event", Status: s.present.Status}
+	case s.scanner.inEvent() && (s.currentHead.MediaType == MediaType || s.forwarded > 0):
+		return s.forward, &ErrCorrupt{Reason: "the response ends within an event"}
+	case s.state == Resuming || s.state == Interrupted || (!s.attemptHasEvents && s.continuesStream()):
+		// A failing engine may end its response before the first event. Taken for a continuation,
+		// this would end the stream early.
+		return s.forward, &ErrNotContinuation{Reason: "it contains no event", Status: s.currentHead.Status}
 	case s.skipping:
-		return s.out, &ErrMismatch{Reason: "event " + s.options.LastEvent + ", which the caller named, did not come"}
+		return s.forward, &ErrMismatch{Reason: "the stream lacks event " + s.options.LastEvent + ", the last event of the caller"}
 	}
 	s.state = Complete
-	return append(s.out, s.held...), nil
+	return append(s.forward, s.buffered...), nil
 }
 
-// goesOn tells whether the present run is to go on with a stream of which the caller has a part.
-func (s *Stream) goesOn() bool {
-	return s.taken > 0 || (s.options.LastEvent != "" && s.present.MediaType == MediaType)
+// continuesStream reports whether the current attempt has to continue a stream of which the caller
+// has a part.
+func (s *Stream) continuesStream() bool {
+	return s.received > 0 || (s.options.LastEvent != "" && s.currentHead.MediaType == MediaType)
 }
 
-// finishEvent takes an event that ended with the last byte of the body.
+// finishEvent handles an event that ended with the last byte of the body.
 func (s *Stream) finishEvent() error {
-	if !s.scanner.finish() {
+	if !s.scanner.finishBody() {
 		return nil
 	}
 	if s.options.Resumable {
-		return s.passEvent()
+		return s.forwardEvent()
 	}
-	s.take(s.scanner.event)
-	s.scanner.restart()
+	s.record(s.scanner.event)
+	s.scanner.resetEvent()
 	return nil
 }
 
-// Interrupt notes that the present run has ended early, or that what it sent was not the rest.
+// Interrupt ends the current attempt early, or after it failed to continue the stream.
 func (s *Stream) Interrupt() {
-	s.held = s.held[:0]
+	s.buffered = s.buffered[:0]
 	if s.options.Resumable {
-		s.scanner.restartBody()
+		s.scanner.resetBody()
 	}
 	if s.state == Forwarding || s.state == Resuming {
 		s.state = Interrupted
--- a/internal/eventstream/stream_test.go
+++ b/internal/eventstream/stream_test.go
@@ -12,7 +12,7 @@
 
 var eventHead = Head{Status: 200, MediaType: MediaType, Version: "1"}
 
-// eventText is the text of events with rising IDs.
+// eventText returns events with increasing IDs.
 func eventText(first, last int) string {
 	var text strings.Builder
 	for id := first; id <= last; id++ {
@@ -21,8 +21,8 @@
 	return text.String()
 }
 
-// in brings a new stream into a state, with two events passed where any have.
-func in(t *testing.T, state State, resumable bool) *Stream {
+// streamInState returns a stream in the state; two events were forwarded unless it is Pending.
+func streamInState(t *testing.T, state State, resumable bool) *Stream {
 	t.Helper()
 	stream := New(Options{Resumable: resumable, VersionField: "weights"})
 	if state == Pending {
@@ -45,109 +45,109 @@
 	return stream
 }
 
-// step is what comes from an engine.
+// step is one input to a stream.
 type step func(stream *Stream) ([]byte, error)
 
-func bytesOf(text string) step {
+func feed(text string) step {
 	return func(stream *Stream) ([]byte, error) { return stream.Feed([]byte(text)) }
 }
 
-func headOf(head Head) step {
+func begin(head Head) step {
 	return func(stream *Stream) ([]byte, error) { return nil, stream.Begin(head) }
 }
 
-func end(stream *Stream) ([]byte, error) { return stream.End() }
+func finish(stream *Stream) ([]byte, error) { return stream.End() }
 
-func breakOff(stream *Stream) ([]byte, error) {
+func interrupt(stream *Stream) ([]byte, error) {
 	stream.Interrupt()
 	return nil, nil
 }
 
-// The life of a stream, one row for each state and what may come in it.
-func TestWhatTheCallerSees(t *testing.T) {
+// Each state with each kind of input.
+func TestStateTransitions(t *testing.T) {
 	t.Parallel()
 	const cutEvent = "id: 3\ndata: e"
 	for name, row := range map[string]struct {
-		state  State
-		once   bool
-		comes  step
-		passes string
-		fails  bool
-		then   State
+		state        State
+		notResumable bool
+		input        step
+		forwarded    string
+		fails        bool
+		next         State
 	}{
-		"opened, a stream begins":            {state: Pending, comes: headOf(eventHead), then: Pending},
-		"opened, a failure begins":           {state: Pending, comes: headOf(Head{Status: 500}), then: Pending},
-		"opened, events":                     {state: Pending, comes: bytesOf(eventText(1, 2)), passes: eventText(1, 2), then: Forwarding},
-		"opened, a part of an event":         {state: Pending, comes: bytesOf(cutEvent), then: Pending},
-		"opened, a part, not resumable":      {state: Pending, once: true, comes: bytesOf(cutEvent), passes: cutEvent, then: Forwarding},
-		"opened, it ends":                    {state: Pending, comes: end, then: Complete},
-		"opened, it breaks":                  {state: Pending, comes: breakOff, then: Pending},
-		"passing, events":                    {state: Forwarding, comes: bytesOf(eventText(3, 4)), passes: eventText(3, 4), then: Forwarding},
-		"passing, an event and a part":       {state: Forwarding, comes: bytesOf(eventText(3, 3) + "id: 4"), passes: eventText(3, 3), then: Forwarding},
-		"passing, an event that is there":    {state: Forwarding, comes: bytesOf(eventText(2, 3)), fails: true, then: Forwarding},
-		"passing, good and bad events":       {state: Forwarding, comes: bytesOf(eventText(3, 3) + eventText(1, 1)), passes: eventText(3, 3), fails: true, then: Forwarding},
-		"passing, the same, not resumable":   {state: Forwarding, once: true, comes: bytesOf(eventText(1, 1)), passes: eventText(1, 1), then: Forwarding},
-		"passing, another head":              {state: Forwarding, comes: headOf(eventHead), fails: true, then: Forwarding},
-		"passing, it ends":                   {state: Forwarding, comes: end, then: Complete},
-		"passing, it breaks":                 {state: Forwarding, comes: breakOff, then: Interrupted},
-		"broken, the rest begins":            {state: Interrupted, comes: headOf(eventHead), then: Resuming},
-		"broken, a failure":                  {state: Interrupted, comes: headOf(Head{Status: 500, MediaType: "text/plain"}), fails: true, then: Interrupted},
-		"broken, a failure of the same type": {state: Interrupted, comes: headOf(Head{Status: 500, MediaType: MediaType}), fails: true, then: Interrupted},
-		"broken, no content":                 {state: Interrupted, comes: headOf(Head{Status: 204}), fails: true, then: Interrupted},
-		"broken, another type":               {state: Interrupted, comes: headOf(Head{Status: 200, MediaType: "application/json"}), fails: true, then: Interrupted},
-		"broken, other weights":              {state: Interrupted, comes: headOf(Head{Status: 200, MediaType: MediaType, Version: "2"}), fails: true, then: Interrupted},
-		"broken, the rest, not resumable":    {state: Interrupted, once: true, comes: headOf(eventHead), fails: true, then: Interrupted},
-		"broken, it ends":                    {state: Interrupted, comes: end, fails: true, then: Interrupted},
-		"resuming, the next event":           {state: Resuming, comes: bytesOf(eventText(3, 3)), passes: eventText(3, 3), then: Forwarding},
-		"resuming, the last event again":     {state: Resuming, comes: bytesOf(eventText(2, 2)), fails: true, then: Resuming},
-		"resuming, from the start":           {state: Resuming, comes: bytesOf(eventText(1, 4)), fails: true, then: Resuming},
-		"resuming, an event without ID":      {state: Resuming, comes: bytesOf("data: e3\n\n"), fails: true, then: Resuming},
-		"resuming, a comment":                {state: Resuming, comes: bytesOf(": busy\n\n"), then: Resuming},
-		"resuming, it ends":                  {state: Resuming, comes: end, fails: true, then: Resuming},
-		"resuming, it breaks":                {state: Resuming, comes: breakOff, then: Interrupted},
-		"ended, another head":                {state: Complete, comes: headOf(eventHead), fails: true, then: Complete},
-		"ended, it breaks":                   {state: Complete, comes: breakOff, then: Complete},
+		"pending, a stream begins":                        {state: Pending, input: begin(eventHead), next: Pending},
+		"pending, an error response begins":               {state: Pending, input: begin(Head{Status: 500}), next: Pending},
+		"pending, events":                                 {state: Pending, input: feed(eventText(1, 2)), forwarded: eventText(1, 2), next: Forwarding},
+		"pending, part of an event":                       {state: Pending, input: feed(cutEvent), next: Pending},
+		"pending, part of an event, not resumable":        {state: Pending, notResumable: true, input: feed(cutEvent), forwarded: cutEvent, next: Forwarding},
+		"pending, end":                                    {state: Pending, input: finish, next: Complete},
+		"pending, interruption":                           {state: Pending, input: interrupt, next: Pending},
+		"forwarding, events":                              {state: Forwarding, input: feed(eventText(3, 4)), forwarded: eventText(3, 4), next: Forwarding},
+		"forwarding, an event and part of one":            {state: Forwarding, input: feed(eventText(3, 3) + "id: 4"), forwarded: eventText(3, 3), next: Forwarding},
+		"forwarding, a repeated event":                    {state: Forwarding, input: feed(eventText(2, 3)), fails: true, next: Forwarding},
+		"forwarding, a new and a repeated event":          {state: Forwarding, input: feed(eventText(3, 3) + eventText(1, 1)), forwarded: eventText(3, 3), fails: true, next: Forwarding},
+		"forwarding, a repeated event, not resumable":     {state: Forwarding, notResumable: true, input: feed(eventText(1, 1)), forwarded: eventText(1, 1), next: Forwarding},
+		"forwarding, another head":                        {state: Forwarding, input: begin(eventHead), fails: true, next: Forwarding},
+		"forwarding, end":                                 {state: Forwarding, input: finish, next: Complete},
+		"forwarding, interruption":                        {state: Forwarding, input: interrupt, next: Interrupted},
+		"interrupted, the continuation begins":            {state: Interrupted, input: begin(eventHead), next: Resuming},
+		"interrupted, an error response":                  {state: Interrupted, input: begin(Head{Status: 500, MediaType: "text/plain"}), fails: true, next: Interrupted},
+		"interrupted, an error response of the same type": {state: Interrupted, input: begin(Head{Status: 500, MediaType: MediaType}), fails: true, next: Interrupted},
+		"interrupted, no content":                         {state: Interrupted, input: begin(Head{Status: 204}), fails: true, next: Interrupted},
+		"interrupted, another media type":                 {state: Interrupted, input: begin(Head{Status: 200, MediaType: "application/json"}), fails: true, next: Interrupted},
+		"interrupted, other weights":                      {state: Interrupted, input: begin(Head{Status: 200, MediaType: MediaType, Version: "2"}), fails: true, next: Interrupted},
+		"interrupted, the continuation, not resumable":    {state: Interrupted, notResumable: true, input: begin(eventHead), fails: true, next: Interrupted},
+		"interrupted, end":                                {state: Interrupted, input: finish, fails: true, next: Interrupted},
+		"resuming, the next event":                        {state: Resuming, input: feed(eventText(3, 3)), forwarded: eventText(3, 3), next: Forwarding},
+		"resuming, the last event repeated":               {state: Resuming, input: feed(eventText(2, 2)), fails: true, next: Resuming},
+		"resuming, from the start":                        {state: Resuming, input: feed(eventText(1, 4)), fails: true, next: Resuming},
+		"resuming, an event without ID":                   {state: Resuming, input: feed("data: e3\n\n"), fails: true, next: Resuming},
+		"resuming, a comment":                             {state: Resuming, input: feed(": busy\n\n"), next: Resuming},
+		"resuming, end":                                   {state: Resuming, input: finish, fails: true, next: Resuming},
+		"resuming, interruption":                          {state: Resuming, input: interrupt, next: Interrupted},
+		"complete, another head":                          {state: Complete, input: begin(eventHead), fails: true, next: Complete},
+		"complete, interruption":                          {state: Complete, input: interrupt, next: Complete},
 	} {
-		stream := in(t, row.state, !row.once)
+		stream := streamInState(t, row.state, !row.notResumable)
 		if row.state == Pending {
 			assert.NilError(t, stream.Begin(eventHead), name)
 		}
-		passed, err := row.comes(stream)
-		assert.Equal(t, string(passed), row.passes, name)
+		output, err := row.input(stream)
+		assert.Equal(t, string(output), row.forwarded, name)
 		assert.Equal(t, err != nil, row.fails, "%s: %v", name, err)
-		assert.Equal(t, stream.State(), row.then, name)
+		assert.Equal(t, stream.State(), row.next, name)
 	}
 }
 
-func TestEndWithinAnEventIsNoEnd(t *testing.T) {
+func TestEndWithinEventIsAnError(t *testing.T) {
 	t.Parallel()
 	for _, resumable := range []bool{true, false} {
 		for _, part := range []string{"id: 3\ndata: e", "id: 3\ndata: e3\n", "i", "data"} {
-			stream := in(t, Forwarding, resumable)
+			stream := streamInState(t, Forwarding, resumable)
 			_, err := stream.Feed([]byte(part))
 			assert.NilError(t, err)
 			_, err = stream.End()
-			var damaged *ErrCorrupt
-			assert.Assert(t, errors.As(err, &damaged), "%q, resumable %t", part, resumable)
+			var corrupt *ErrCorrupt
+			assert.Assert(t, errors.As(err, &corrupt), "%q, resumable %t", part, resumable)
 		}
-		stream := in(t, Forwarding, resumable)
+		stream := streamInState(t, Forwarding, resumable)
 		_, err := stream.Feed([]byte(": goodbye\n"))
 		assert.NilError(t, err)
 		rest, err := stream.End()
 		assert.NilError(t, err)
-		assert.Equal(t, string(rest) != "", resumable, "comments pass at the end")
+		assert.Equal(t, string(rest) != "", resumable, "comments at the end are forwarded")
 	}
 }
 
-// A failure of the engine is passed on as the answer to a request that has none yet, and only once it is whole if another
-// run may take its place.
-func TestFailureIsAnAnswerToAStreamThatHasNotBegun(t *testing.T) {
+// An error response is forwarded if no event was, and only once it is complete if another attempt
+// could replace it.
+func TestErrorResponseBeforeFirstEvent(t *testing.T) {
 	t.Parallel()
 	stream := New(Options{Resumable: true})
 	assert.NilError(t, stream.Begin(Head{Status: 500, MediaType: "text/plain"}))
-	passed, err := stream.Feed([]byte("out of"))
+	output, err := stream.Feed([]byte("out of"))
 	assert.NilError(t, err)
-	assert.Equal(t, len(passed), 0)
+	assert.Equal(t, len(output), 0)
 	stream.Interrupt()
 	assert.Assert(t, stream.CanResume())
 	assert.NilError(t, stream.Begin(Head{Status: 500, MediaType: "text/plain"}))
@@ -160,19 +160,20 @@
 	assert.Equal(t, stream.EventsStarted(), 0)
 }
 
-func TestStreamAfterAnEventWithoutIDCanNotBeResumed(t *testing.T) {
+func TestEventWithoutIDPreventsResumption(t *testing.T) {
 	t.Parallel()
-	stream := in(t, Forwarding, true)
-	passed, err := stream.Feed([]byte("data: e3\n\n"))
+	stream := streamInState(t, Forwarding, true)
+	output, err := stream.Feed([]byte("data: e3\n\n"))
 	assert.NilError(t, err)
-	assert.Equal(t, string(passed), "data: e3\n\n")
+	assert.Equal(t, string(output), "data: e3\n\n")
 	stream.Interrupt()
 	assert.Assert(t, !stream.CanResume())
 	assert.Assert(t, stream.Begin(eventHead) != nil)
 }
 
-// A caller that has a part of the stream from an answer before gets what comes after it, also if the first run breaks.
-func TestCallerThatResumesGetsOnlyWhatIsNew(t *testing.T) {
+// A caller that names its last event gets only later ones, also if the first attempt is
+// interrupted.
+func TestResumingCallerGetsOnlyNewEvents(t *testing.T) {
 	t.Parallel()
 	stream := New(Options{Resumable: true, LastEvent: "2"})
 	assert.NilError(t, stream.Begin(eventHead))
@@ -180,23 +181,24 @@
 	assert.Equal(t, stream.LastEvent(), "2")
 	for _, wrong := range []string{eventText(1, 3), eventText(2, 2), "data: e3\n\n", "", ": busy\n\n"} {
 		assert.NilError(t, stream.Begin(eventHead))
-		passed, err := stream.Feed([]byte(wrong))
+		output, err := stream.Feed([]byte(wrong))
 		if err == nil {
-			passed, err = stream.End()
+			output, err = stream.End()
 		}
 		assert.Assert(t, err != nil, wrong)
-		assert.Equal(t, len(passed), 0)
+		assert.Equal(t, len(output), 0)
 		stream.Interrupt()
 	}
 	assert.NilError(t, stream.Begin(eventHead))
-	passed, err := stream.Feed([]byte(eventText(3, 4)))
+	output, err := stream.Feed([]byte(eventText(3, 4)))
 	assert.NilError(t, err)
-	assert.Equal(t, string(passed), eventText(3, 4))
+	assert.Equal(t, string(output), eventText(3, 4))
 }
 
-// The weights may change within a run, which says so; the rest must come from those at which the stream stands. An engine does
-// not go back to older ones: asking it again is in vain. One that doesn't tell its weights is taken at its word.
-func TestRestComesFromTheSameWeights(t *testing.T) {
+// The weights may change within an attempt, which announces it. A continuation must come from the
+// weights of the last event; an engine doesn't return to older weights, so a mismatch ends
+// resumption. Responses without a version are accepted.
+func TestContinuationFromOtherWeightsIsRejected(t *testing.T) {
 	t.Parallel()
 	for version, fits := range map[string]bool{"7": false, "8": true, "9": false, "": true} {
 		stream := New(Options{Resumable: true, VersionField: "weights"})
@@ -211,24 +213,24 @@
 	}
 }
 
-// A caller that has the first two events gets the others; the output is of all of them. Runs begin at the start of the stream,
-// or where the one before broke off.
-func TestOutputOfAStreamThatTheCallerHasAPartOf(t *testing.T) {
+// The output contains all events although the caller, which has the first two, gets only the
+// others. Attempts begin at the start of the stream or continue the one before.
+func TestOutputIncludesEventsTheCallerHas(t *testing.T) {
 	t.Parallel()
-	for name, runs := range map[string][]string{
-		"one run":                      {eventText(1, 4)},
-		"broken within the known part": {eventText(1, 1) + "id: 2", eventText(2, 4)},
-		"broken after the known part":  {eventText(1, 2) + "id", eventText(3, 4)},
-		"broken in the new part":       {eventText(1, 3) + "id", eventText(4, 4)},
+	for name, attempts := range map[string][]string{
+		"one attempt":                       {eventText(1, 4)},
+		"interrupted within the known part": {eventText(1, 1) + "id: 2", eventText(2, 4)},
+		"interrupted after the known part":  {eventText(1, 2) + "id", eventText(3, 4)},
+		"interrupted in the new part":       {eventText(1, 3) + "id", eventText(4, 4)},
 	} {
 		stream := New(Options{Resumable: true, KeepOutput: true, LastEvent: "2", FromStart: true})
 		got := ""
-		for index, body := range runs {
+		for index, body := range attempts {
 			assert.NilError(t, stream.Begin(eventHead), name)
-			passed, err := stream.Feed([]byte(body))
+			output, err := stream.Feed([]byte(body))
 			assert.NilError(t, err, name)
-			got += string(passed)
-			if index < len(runs)-1 {
+			got += string(output)
+			if index < len(attempts)-1 {
 				stream.Interrupt()
 				continue
 			}
@@ -241,22 +243,22 @@
 	}
 }
 
-func TestKnownPartAloneIsNoWholeStream(t *testing.T) {
+func TestStreamMustReachTheCallersLastEvent(t *testing.T) {
 	t.Parallel()
-	for name, runs := range map[string][]string{
-		"ends before it":                 {eventText(1, 1)},
-		"never comes":                    {eventText(3, 4)},
-		"breaks after it, then is empty": {eventText(1, 2) + "id", ""},
+	for name, attempts := range map[string][]string{
+		"ends before the last event":                   {eventText(1, 1)},
+		"lacks the last event":                         {eventText(3, 4)},
+		"interrupted after the last event, then empty": {eventText(1, 2) + "id", ""},
 	} {
 		stream := New(Options{Resumable: true, KeepOutput: true, LastEvent: "2", FromStart: true})
 		var err error
-		for index, body := range runs {
+		for index, body := range attempts {
 			assert.NilError(t, stream.Begin(eventHead), name)
 			_, err = stream.Feed([]byte(body))
-			if err == nil && index == len(runs)-1 {
+			if err == nil && index == len(attempts)-1 {
 				_, err = stream.End()
 			}
-			if index < len(runs)-1 {
+			if index < len(attempts)-1 {
 				stream.Interrupt()
 			}
 		}
@@ -264,10 +266,10 @@
 	}
 }
 
-func TestOnlyWhatHasPassedIsCounted(t *testing.T) {
+func TestOnlyForwardedEventsAreCounted(t *testing.T) {
 	t.Parallel()
 	for resumable, started := range map[bool]int{true: 2, false: 3} {
-		stream := in(t, Forwarding, resumable)
+		stream := streamInState(t, Forwarding, resumable)
 		_, err := stream.Feed([]byte("id: 3\ndata: e"))
 		assert.NilError(t, err)
 		assert.Equal(t, stream.EventsStarted(), started)
@@ -276,68 +278,68 @@
 	}
 }
 
-func TestHeldBytesAreBounded(t *testing.T) {
+func TestBufferedBytesAreBounded(t *testing.T) {
 	t.Parallel()
 	for _, head := range []Head{eventHead, {Status: 500}} {
 		stream := New(Options{Resumable: true})
 		assert.NilError(t, stream.Begin(head))
 		piece := []byte(strings.Repeat("x", 1<<20))
 		var err error
-		for sent := 0; err == nil && sent <= 2*maximalHeldBytes; sent += len(piece) {
+		for sent := 0; err == nil && sent <= 2*maxBufferedBytes; sent += len(piece) {
 			_, err = stream.Feed(piece)
 		}
-		var damaged *ErrCorrupt
-		assert.Assert(t, errors.As(err, &damaged))
+		var corrupt *ErrCorrupt
+		assert.Assert(t, errors.As(err, &corrupt))
 	}
 }
 
-// randomRun is one run of an engine that has the true answer and may fail in any way that there is.
-type randomRun struct {
-	head  Head
-	body  string
-	whole bool
+// randomAttempt is an attempt at an engine that has the expected response and may fail in any way.
+type randomAttempt struct {
+	head     Head
+	body     string
+	complete bool
 }
 
-func newRandomRun(random *rand.Rand, truth string, lastEvent int) randomRun {
-	run := randomRun{head: eventHead, whole: true, body: truth[len(eventText(1, lastEvent)):]}
+func newRandomAttempt(random *rand.Rand, expected string, lastEvent int) randomAttempt {
+	attempt := randomAttempt{head: eventHead, complete: true, body: expected[len(eventText(1, lastEvent)):]}
 	kind := random.IntN(9)
 	if lastEvent == 0 && (kind == 3 || kind == 4) {
-		// Where nothing has passed yet, such an answer is a first one that nothing contradicts.
-		return run
+		// At the start of a stream nothing contradicts such a response.
+		return attempt
 	}
 	switch kind {
 	case 0:
-		run.head = Head{Status: []int{204, 301, 404, 500, 503}[random.IntN(5)], MediaType: []string{MediaType, "text/plain"}[random.IntN(2)]}
+		attempt.head = Head{Status: []int{204, 301, 404, 500, 503}[random.IntN(5)], MediaType: []string{MediaType, "text/plain"}[random.IntN(2)]}
 	case 1:
-		run.head.MediaType = "application/json"
+		attempt.head.MediaType = "application/json"
 	case 2:
-		run.body = ""
+		attempt.body = ""
 	case 3:
-		run.body = eventText(max(lastEvent-random.IntN(3), 1), lastEvent+1)
+		attempt.body = eventText(max(lastEvent-random.IntN(3), 1), lastEvent+1)
 	case 4:
-		run.body = "data: without ID\n\n"
+		attempt.body = "data: without ID\n\n"
 	case 5:
-		run.body += "id: 999\nda"
+		attempt.body += "id: 999\nda"
 	case 6, 7:
-		run.body = run.body[:random.IntN(len(run.body)+1)]
-		run.whole = false
+		attempt.body = attempt.body[:random.IntN(len(attempt.body)+1)]
+		attempt.complete = false
 	}
-	return run
+	return attempt
 }
 
-// Whatever breaks, what the caller has got of a stream that has begun is the beginning of the true answer, up to the end of
-// an event, and a complete end means all of it.
+// Under random failures the caller gets a prefix of the expected response that ends at the end of
+// an event, and a complete stream has all of it.
 func TestRandomStreams(t *testing.T) {
 	t.Parallel()
-	ended, cut := 0, 0
+	complete, interrupted := 0, 0
 	for seed := range uint64(20000) {
 		random := rand.New(rand.NewPCG(seed, 32))
-		truth := eventText(1, 1+random.IntN(6))
+		expected := eventText(1, 1+random.IntN(6))
 		stream := New(Options{Resumable: true, KeepOutput: true})
 		var got strings.Builder
 		for range 6 {
 			lastEvent := strings.Count(got.String(), "\n\n")
-			playRandomRun(random, stream, newRandomRun(random, truth, lastEvent), &got)
+			feedAttempt(random, stream, newRandomAttempt(random, expected, lastEvent), &got)
 			if stream.State() == Complete || !stream.CanResume() {
 				break
 			}
@@ -345,40 +347,40 @@
 		if stream.EventsForwarded() == 0 {
 			continue
 		}
-		assert.Assert(t, strings.HasPrefix(truth, got.String()) && strings.HasSuffix(got.String(), "\n\n"), "seed %d: %q", seed, got.String())
+		assert.Assert(t, strings.HasPrefix(expected, got.String()) && strings.HasSuffix(got.String(), "\n\n"), "seed %d: %q", seed, got.String())
 		assert.Equal(t, stream.EventsStarted(), strings.Count(got.String(), "\n\n"), "seed %d", seed)
 		if stream.State() == Complete {
-			assert.Equal(t, got.String(), truth, "seed %d", seed)
-			ended++
+			assert.Equal(t, got.String(), expected, "seed %d", seed)
+			complete++
 			continue
 		}
-		cut++
+		interrupted++
 	}
-	assert.Assert(t, ended > 1000 && cut > 100, "%d ended, %d were cut", ended, cut)
+	assert.Assert(t, complete > 1000 && interrupted > 100, "%d complete, %d interrupted", complete, interrupted)
 }
 
-// playRandomRun gives a run to the stream in pieces of random sizes.
-func playRandomRun(random *rand.Rand, stream *Stream, run randomRun, got *strings.Builder) {
-	take := func(passed []byte, err error) bool {
-		got.Write(passed)
+// feedAttempt feeds an attempt to the stream in pieces of random sizes.
+func feedAttempt(random *rand.Rand, stream *Stream, attempt randomAttempt, got *strings.Builder) {
+	handle := func(output []byte, err error) bool {
+		got.Write(output)
 		if err != nil {
 			stream.Interrupt()
 		}
 		return err == nil
 	}
-	if !take(nil, stream.Begin(run.head)) {
+	if !handle(nil, stream.Begin(attempt.head)) {
 		return
 	}
-	for rest := run.body; rest != ""; {
+	for rest := attempt.body; rest != ""; {
 		size := 1 + random.IntN(len(rest))
-		if !take(stream.Feed([]byte(rest[:size]))) {
+		if !handle(stream.Feed([]byte(rest[:size]))) {
 			return
 		}
 		rest = rest[size:]
 	}
-	if !run.whole {
+	if !attempt.complete {
 		stream.Interrupt()
 		return
 	}
-	take(stream.End())
+	handle(stream.End())
 }
--- a/internal/ingress/resume_test.go
+++ b/internal/ingress/resume_test.go
@@ -275,7 +275,7 @@
 			assert.Equal(t, got.body, wholeStream)
 			if got.err != nil {
 				// Only the end was lost with the run. What comes then has no event, which proves no end.
-				assert.Assert(t, strings.Contains(s.logged(), "it brought no event"), "%s: %v", s.logged(), got.err)
+				assert.Assert(t, strings.Contains(s.logged(), "it contains no event"), "%s: %v", s.logged(), got.err)
 			}
 		})
 	}
