--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -30,8 +30,8 @@
 	"github.com/mountstile/mountstile/internal/upstream"
 )
 
-// testProtocol is a vocabulary of this test: Call is the request's ID, Seal the engine's mark,
-// Untouched its word that it did not run the call.
+// testProtocol uses headers of its own: Call is the request's ID, Seal marks an engine's response,
+// and Untouched says that the engine did not run the call.
 type testProtocol struct{}
 
 func (testProtocol) Caller(header http.Header) (Caller, error) {
@@ -74,7 +74,7 @@
 	return dispatch.Answered
 }
 
-// testEngine serves calls by a script that gets the bare connection.
+// testEngine serves calls with a script that controls the connection.
 type testEngine struct {
 	id   string
 	runs atomic.Int64
@@ -93,8 +93,8 @@
 	_, _ = fmt.Fprintf(c.connection, format, args...)
 }
 
-// answer sends a whole answer.
-func (c *engineCall) answer(status int, body string) {
+// reply sends a complete response.
+func (c *engineCall) reply(status int, body string) {
 	c.write("HTTP/1.1 %d X\r\nCall: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n%s", status, c.id, len(body), body)
 }
 
@@ -108,27 +108,28 @@
 
 func (c *engineCall) endStream() { c.write("0\r\n\r\n") }
 
-// reset cuts the connection so that the other end sees no orderly end.
+// reset closes the connection with a TCP reset.
 func (c *engineCall) reset() {
 	_ = c.connection.(*net.TCPConn).SetLinger(0)
 	_ = c.connection.Close()
 }
 
-// gone waits until the other end closes.
-func (c *engineCall) gone() {
+// awaitClose waits until the gateway closes the connection.
+func (c *engineCall) awaitClose() {
 	_, _ = c.reader.ReadByte()
 }
 
-type site struct {
-	t        *testing.T
-	node     *Node
-	front    *httptest.Server
-	replica  *transport.Transport
-	network  *transport.Transport
-	revision int64
-	mutex    sync.Mutex
-	engines  map[string]*testEngine
-	logs     *strings.Builder
+// testCluster is a gateway with engines and optionally a replica.
+type testCluster struct {
+	t           *testing.T
+	node        *Node
+	frontServer *httptest.Server
+	replica     *transport.Transport
+	network     *transport.Transport
+	revision    int64
+	mutex       sync.Mutex
+	engines     map[string]*testEngine
+	logs        *strings.Builder
 }
 
 type lockedWriter struct {
@@ -142,39 +143,39 @@
 	return w.text.Write(line)
 }
 
-func (s *site) logged() string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.logs.String()
+func (c *testCluster) logText() string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.logs.String()
 }
 
-func newSite(t *testing.T) *site {
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	created := newStartingSite(t)
-	created.configure(1, func(*routing.Specification) {})
-	return created
+	cluster := newUnconfiguredCluster(t)
+	cluster.configure(1, func(*routing.Specification) {})
+	return cluster
 }
 
-// newStartingSite has a gateway that knows no routes yet.
-func newStartingSite(t *testing.T) *site {
+// newUnconfiguredCluster returns a cluster whose gateway has no routes yet.
+func newUnconfiguredCluster(t *testing.T) *testCluster {
 	t.Helper()
-	created := &site{t: t, engines: make(map[string]*testEngine), logs: &strings.Builder{}}
-	logger := events.NewLogger(lockedWriter{&created.mutex, created.logs}, 4, "gateway")
-	created.network = transport.New(transport.Options{Cluster: "test", NodeID: "gateway", Logger: events.Discard()})
-	t.Cleanup(created.network.Close)
-	created.node = NewNode(NodeOptions{
+	cluster := &testCluster{t: t, engines: make(map[string]*testEngine), logs: &strings.Builder{}}
+	logger := events.NewLogger(lockedWriter{&cluster.mutex, cluster.logs}, 4, "gateway")
+	cluster.network = transport.New(transport.Options{Cluster: "test", NodeID: "gateway", Logger: events.Discard()})
+	t.Cleanup(cluster.network.Close)
+	cluster.node = NewNode(NodeOptions{
 		Zone: "a", CallerProtocol: testProtocol{}, Protocol: testProtocol{}, Dial: upstream.Dialer(time.Second, time.Second),
-		CacheBytes: 1 << 20, Seeds: func() []string { return nil }, Network: created.network, Logger: logger,
+		CacheBytes: 1 << 20, Seeds: func() []string { return nil }, Network: cluster.network, Logger: logger,
 	})
-	created.front = httptest.NewUnstartedServer(nil)
-	created.front.Config = created.node.NewHTTPServer()
-	created.front.Start()
-	t.Cleanup(created.front.Close)
-	return created
+	cluster.frontServer = httptest.NewUnstartedServer(nil)
+	cluster.frontServer.Config = cluster.node.NewHTTPServer()
+	cluster.frontServer.Start()
+	t.Cleanup(cluster.frontServer.Close)
+	return cluster
 }
 
-func (s *site) configure(version int64, change func(*routing.Specification)) {
-	s.t.Helper()
+func (c *testCluster) configure(version int64, change func(*routing.Specification)) {
+	c.t.Helper()
 	service := []routing.TargetSpecification{{Service: "models", Weight: 1}}
 	specification := routing.Specification{
 		Version:  version,
@@ -190,23 +191,23 @@
 		},
 	}
 	change(&specification)
-	s.apply(catalog.ConfigurationKind, "current", specification)
+	c.apply(catalog.ConfigurationKind, "current", specification)
 }
 
-func (s *site) apply(kind, name string, value any) {
-	s.t.Helper()
+func (c *testCluster) apply(kind, name string, value any) {
+	c.t.Helper()
 	encoded, err := json.Marshal(value)
-	assert.NilError(s.t, err)
-	s.revision++
-	s.node.apply(catalog.Entry{Key: catalog.Key(kind, name), Revision: s.revision, Value: encoded})
+	assert.NilError(c.t, err)
+	c.revision++
+	c.node.apply(catalog.Entry{Key: catalog.Key(kind, name), Revision: c.revision, Value: encoded})
 }
 
 // engine starts an engine of the service "models".
-func (s *site) engine(id string, script func(call *engineCall)) *testEngine {
-	s.t.Helper()
+func (c *testCluster) engine(id string, script func(call *engineCall)) *testEngine {
+	c.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(s.t, err)
-	s.t.Cleanup(func() { _ = listener.Close() })
+	assert.NilError(c.t, err)
+	c.t.Cleanup(func() { _ = listener.Close() })
 	started := &testEngine{id: id}
 	go func() {
 		for {
@@ -217,8 +218,8 @@
 			go started.serve(connection, script)
 		}
 	}()
-	s.apply(catalog.EngineKind, id, dispatch.EngineSpecification{ID: id, Service: "models", Address: listener.Addr().String(), Zone: "a", Slots: 8})
-	s.engines[id] = started
+	c.apply(catalog.EngineKind, id, dispatch.EngineSpecification{ID: id, Service: "models", Address: listener.Addr().String(), Zone: "a", Slots: 8})
+	c.engines[id] = started
 	return started
 }
 
@@ -240,11 +241,12 @@
 	}
 }
 
-// engineThatDies starts an engine that serves one call: it sends one event, breaks off, and is gone.
-func (s *site) engineThatDies() {
-	s.t.Helper()
+// engineThatDies starts an engine that serves one call: it sends one event, resets the connection
+// and stops listening.
+func (c *testCluster) engineThatDies() {
+	c.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	go func() {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -260,23 +262,23 @@
 		call.event(1)
 		call.reset()
 	}()
-	s.apply(catalog.EngineKind, "dies", dispatch.EngineSpecification{ID: "dies", Service: "models", Address: listener.Addr().String(), Zone: "a", Slots: 8})
+	c.apply(catalog.EngineKind, "dies", dispatch.EngineSpecification{ID: "dies", Service: "models", Address: listener.Addr().String(), Zone: "a", Slots: 8})
 }
 
-// withReplica starts one replica and makes it the replica set.
-func (s *site) withReplica() { s.withLateReplica()() }
+// withReplica starts a replica that is the whole replica set.
+func (c *testCluster) withReplica() { c.withLateReplica()() }
 
-// withLateReplica makes a replica the replica set that answers once the returned function was called.
-func (s *site) withLateReplica() (start func()) {
-	s.t.Helper()
+// withLateReplica is like withReplica, but the replica serves only once start is called.
+func (c *testCluster) withLateReplica() (start func()) {
+	c.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	member := turnstore.Member{Name: "replica", Address: listener.Addr().String(), Zone: "a"}
-	s.replica = transport.New(transport.Options{Cluster: "test", NodeID: "replica", Address: member.Address, Logger: events.Discard()})
+	c.replica = transport.New(transport.Options{Cluster: "test", NodeID: "replica", Address: member.Address, Logger: events.Discard()})
 	replica, err := turnstore.NewReplica(turnstore.ReplicaOptions{
-		Self: member, Folder: memoryFolder(s.t), FirstStart: true, Copies: 1, Retiring: func(string) bool { return false },
-	}, s.replica, events.Discard())
-	assert.NilError(s.t, err)
+		Self: member, Folder: memoryFolder(c.t), FirstStart: true, Copies: 1, Retiring: func(string) bool { return false },
+	}, c.replica, events.Discard())
+	assert.NilError(c.t, err)
 	set := turnstore.Set{Epoch: 1, Members: []turnstore.Member{member}, Copies: 1, Size: 1}
 	replica.ApplySet(set)
 	ctx, stop := context.WithCancel(context.Background())
@@ -285,38 +287,39 @@
 		defer close(done)
 		replica.Run(ctx)
 	}()
-	s.t.Cleanup(func() {
+	c.t.Cleanup(func() {
 		stop()
-		s.replica.Close()
+		c.replica.Close()
 		<-done
 	})
-	s.apply(catalog.ReplicaSetKind, "current", set)
-	return func() { go func() { _ = s.replica.Serve(listener) }() }
+	c.apply(catalog.ReplicaSetKind, "current", set)
+	return func() { go func() { _ = c.replica.Serve(listener) }() }
 }
 
-type answer struct {
+// reply is the response that a caller got.
+type reply struct {
 	status int
 	header http.Header
 	body   string
-	// err is what ended the body early.
+	// err is the error of the request or of reading its body.
 	err error
 }
 
-func (s *site) send(path, id, body string, headers ...string) answer {
-	s.t.Helper()
-	response, err := s.begin(context.Background(), path, id, body, headers...)
+func (c *testCluster) send(path, id, body string, headers ...string) reply {
+	c.t.Helper()
+	response, err := c.startRequest(context.Background(), path, id, body, headers...)
 	if err != nil {
-		return answer{err: err}
+		return reply{err: err}
 	}
 	defer response.Body.Close()
 	read, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(read), err: err}
+	return reply{status: response.StatusCode, header: response.Header, body: string(read), err: err}
 }
 
-func (s *site) begin(ctx context.Context, path, id, body string, headers ...string) (*http.Response, error) {
-	s.t.Helper()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, s.front.URL+path, strings.NewReader(body))
-	assert.NilError(s.t, err)
+func (c *testCluster) startRequest(ctx context.Context, path, id, body string, headers ...string) (*http.Response, error) {
+	c.t.Helper()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.frontServer.URL+path, strings.NewReader(body))
+	assert.NilError(c.t, err)
 	request.Host = "h"
 	request.Header.Set("Call", id)
 	for index := 0; index+1 < len(headers); index += 2 {
@@ -335,12 +338,11 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// memoryRoot is where Linux keeps a file system in memory.
+// memoryRoot is a file system in memory on Linux.
 const memoryRoot = "/dev/shm"
 
-// memoryFolder returns a folder that does not wait for the machine's disk: beside other work (a load of 50 on 12 cores) 3 of 6 runs
-// of these tests failed with the replicas' folders there, and none of 6 with them in memory. It stands in test files only, each
-// package with its own: the programs share no memory.
+// memoryFolder returns a temporary folder, in memory if possible, so that replicas don't wait for a
+// busy disk.
 func memoryFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp(memoryRoot, "mountstile-test-")
--- a/internal/ingress/malformed.go
+++ b/internal/ingress/malformed.go
@@ -8,18 +8,20 @@
 	"github.com/mountstile/mountstile/internal/events"
 )
 
-// net/http answers what is no request by itself, without a word: a head that is too large, a missing host, a head
-// that can't be read. Such answers go to the connection in one piece, and unlike those of handlers they have no
-// date. A Listener notices them, so that they get their log line like all other refusals.
+// net/http itself responds to malformed requests, such as those with an oversized head or without a
+// host, and doesn't log them. It writes such a response in one call and, unlike those of handlers,
+// without a Date header. Listener recognizes them by this and logs them like other refused
+// requests.
 var (
-	clientErrorStart = []byte("HTTP/1.1 4")
-	dateHeader       = []byte("\r\nDate: ")
+	clientErrorPrefix = []byte("HTTP/1.1 4")
+	dateHeader        = []byte("\r\nDate: ")
 )
 
-// statusEnd is where the status of "HTTP/1.1 400" ends; it begins three bytes before.
+// statusEnd is the offset after the three digits of the status.
 const statusEnd = len("HTTP/1.1 400")
 
-// Listener returns a listener for callers' connections that logs refusals which no handler sees.
+// Listener wraps the listener for callers' connections to log requests that net/http refuses before
+// they reach a handler.
 func (n *Node) Listener(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, server: n.server}
 }
@@ -45,18 +47,18 @@
 
 // Write implements net.Conn.
 func (c *callerConnection) Write(data []byte) (int, error) {
-	if bytes.HasPrefix(data, clientErrorStart) && !bytes.Contains(data, dateHeader) {
+	if bytes.HasPrefix(data, clientErrorPrefix) && !bytes.Contains(data, dateHeader) {
 		c.server.logMalformed(c.Conn, data)
 	}
 	return c.Conn.Write(data)
 }
 
-func (s *Server) logMalformed(connection net.Conn, answer []byte) {
-	if !s.lines.allows(true) {
-		s.options.Metrics.lineDropped()
+func (s *Server) logMalformed(connection net.Conn, response []byte) {
+	if !s.logLimit.allow(true) {
+		s.options.Metrics.countDroppedLine()
 		return
 	}
-	line, _, _ := bytes.Cut(answer, []byte("\r\n"))
+	line, _, _ := bytes.Cut(response, []byte("\r\n"))
 	status, _ := strconv.Atoi(string(line[statusEnd-len("400") : statusEnd]))
 	s.options.Logger.Emit(events.RequestMalformed, events.F("status", status),
 		events.F("reason", string(bytes.TrimSpace(line[statusEnd:]))), events.F("remote", connection.RemoteAddr().String()))
--- a/internal/ingress/malformed_test.go
+++ b/internal/ingress/malformed_test.go
@@ -16,7 +16,7 @@
 	"github.com/mountstile/mountstile/internal/standin/memorylog"
 )
 
-// What net/http refuses by itself gets a log line, too; what a handler refuses gets no second one.
+// Requests that net/http refuses are logged; those refused by a handler are not logged twice.
 func TestMalformedRequestsAreLogged(t *testing.T) {
 	t.Parallel()
 	var log memorylog.Log
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -11,97 +11,97 @@
 	"github.com/mountstile/mountstile/internal/events"
 )
 
-// Metrics counts requests by route, outcome and reason, and measures their times.
+// Metrics holds the metrics of a gateway's requests.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	seconds  *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	openings *prometheus.HistogramVec
-	places   *prometheus.CounterVec
-	dropped  prometheus.Counter
-	// resumptions and endings are of streams, by outcome.
+	requests            *prometheus.CounterVec
+	duration            *prometheus.HistogramVec
+	firstEvent          *prometheus.HistogramVec
+	reservationDuration *prometheus.HistogramVec
+	placements          *prometheus.CounterVec
+	droppedLines        prometheus.Counter
+	// resumptions and streams count by outcome.
 	resumptions *prometheus.CounterVec
-	endings     *prometheus.CounterVec
+	streams     *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	buckets := prometheus.ExponentialBuckets(0.002, 2, 12)
 	metrics := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "mountstile_requests_total", Help: "Requests on routes, by status and reason.",
 		}, []string{"service", "status", "reason"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "mountstile_request_seconds", Help: "Time from the arrival of a request to the end of its answer.", Buckets: buckets,
 		}, []string{"service"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstEvent: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "mountstile_first_event_seconds", Help: "Time from the arrival of a request to its first event.", Buckets: buckets,
 		}, []string{"service"}),
 	}
-	metrics.openings = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	metrics.reservationDuration = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "mountstile_opening_seconds", Help: "Time to reserve a turn's tokens, by whether the turn ran meanwhile.", Buckets: buckets,
 	}, []string{"ran_ahead"})
-	metrics.places = prometheus.NewCounterVec(prometheus.CounterOpts{
+	metrics.placements = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "mountstile_turn_places_total", Help: "Turns by where they ran: at the engine of the program's last turn, at another one, or where that was not known.",
 	}, []string{"place"})
-	metrics.dropped = prometheus.NewCounter(prometheus.CounterOpts{
+	metrics.droppedLines = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "mountstile_log_lines_dropped_total", Help: "Lines on requests that were over the limit and not written.",
 	})
 	metrics.resumptions = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "mountstile_stream_resumptions_total", Help: "Runs that were to go on with a broken stream, by what came of them.",
 	}, []string{"outcome"})
-	metrics.endings = prometheus.NewCounterVec(prometheus.CounterOpts{
+	metrics.streams = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "mountstile_streams_total", Help: "Streams by how they ended: whole, or cut and by whom.",
 	}, []string{"end"})
-	registerer.MustRegister(metrics.resumptions, metrics.endings)
-	registerer.MustRegister(metrics.requests, metrics.seconds, metrics.first, metrics.openings, metrics.places, metrics.dropped)
+	registerer.MustRegister(metrics.resumptions, metrics.streams)
+	registerer.MustRegister(metrics.requests, metrics.duration, metrics.firstEvent, metrics.reservationDuration, metrics.placements, metrics.droppedLines)
 	return metrics
 }
 
-// log writes the one line that tells how a request ended and what decided it, and counts it.
+// log writes the log line of a finished request and updates the metrics.
 func (r *request) log(err error) {
 	took := time.Since(r.arrivedAt)
-	status, reason, event := r.ending(err)
+	status, reason, event := r.result(err)
 	r.server.options.Metrics.observe(r, status, reason, took)
-	if !r.server.lines.allows(err != nil) {
-		r.server.options.Metrics.lineDropped()
+	if !r.server.logLimit.allow(err != nil) {
+		r.server.options.Metrics.countDroppedLine()
 		return
 	}
-	fields := append(r.identity(),
+	fields := append(r.identityFields(),
 		events.F("status", status), events.F("reason", reason), events.F("millis", took.Milliseconds()),
 		events.F("version", r.version), events.F("catalog_age_millis", r.server.options.CatalogAge().Milliseconds()),
 	)
 	if r.reservation != nil {
-		fields = append(fields, events.F("open_millis", r.opening.Milliseconds()), events.F("ran_ahead", r.ahead))
+		fields = append(fields, events.F("open_millis", r.openDuration.Milliseconds()), events.F("ran_ahead", r.ahead))
 	}
 	if r.call != nil {
-		fields = append(fields, r.placement()...)
+		fields = append(fields, r.placementFields()...)
 	}
-	if r.ended != nil {
-		fields = append(fields, r.ended.fields()...)
+	if r.outcome != nil {
+		fields = append(fields, r.outcome.fields()...)
 	}
 	if err != nil {
 		failure := apierr.From(err, apierr.OutcomeUnknown)
-		fields = append(fields, events.F("outcome", string(failure.Outcome)), events.F("error", err), events.F("broken_off", r.sent))
+		fields = append(fields, events.F("outcome", string(failure.Outcome)), events.F("error", err), events.F("broken_off", r.headSent))
 	}
 	r.server.options.Logger.Emit(event, fields...)
 }
 
-// ending is how the request ended: its status, the reason in a word, and the event for it.
-func (r *request) ending(err error) (status int, reason string, event events.ID) {
+// result returns the status of the response, the reason in one word, and the event to log.
+func (r *request) result(err error) (status int, reason string, event events.ID) {
 	if err == nil {
 		return r.status, "answered", events.RequestEnded
 	}
 	failure := apierr.From(err, apierr.OutcomeUnknown)
 	status = r.status
-	if !r.sent {
+	if !r.headSent {
 		status = statusOf(failure)
 	}
 	return status, string(failure.Code), events.RequestFailed
 }
 
-// identity names the request and what it belongs to.
-func (r *request) identity() []events.Field {
+// identityFields returns the request's IDs, time limits and route.
+func (r *request) identityFields() []events.Field {
 	fields := []events.Field{
 		events.F("request", r.caller.ID), events.F("program", r.caller.Program), events.F("session", r.caller.Session),
 		events.F("previous", r.caller.Previous), events.F("patience_millis", r.caller.TimeLimit.Milliseconds()),
@@ -115,8 +115,8 @@
 	return fields
 }
 
-// placement tells where the call went and what the choice saw.
-func (r *request) placement() []events.Field {
+// placementFields returns the chosen engine and the inputs of the choice.
+func (r *request) placementFields() []events.Field {
 	trace := r.call.Trace
 	fields := []events.Field{
 		events.F("engine", trace.Engine), events.F("preferred", r.call.Want.Preferred), events.F("sends", trace.Sends),
@@ -135,52 +135,53 @@
 		return
 	}
 	m.requests.WithLabelValues(r.service.Name, strconv.Itoa(status), reason).Inc()
-	m.seconds.WithLabelValues(r.service.Name).Observe(took.Seconds())
+	m.duration.WithLabelValues(r.service.Name).Observe(took.Seconds())
 	m.observeTurn(r)
-	if r.ended != nil {
-		m.endings.WithLabelValues(r.ended.way).Inc()
+	if r.outcome != nil {
+		m.streams.WithLabelValues(r.outcome.result).Inc()
 	}
 	if !r.firstEventAt.IsZero() {
-		m.first.WithLabelValues(r.service.Name).Observe(r.firstEventAt.Sub(r.arrivedAt).Seconds())
+		m.firstEvent.WithLabelValues(r.service.Name).Observe(r.firstEventAt.Sub(r.arrivedAt).Seconds())
 	}
 }
 
-// The places where a turn may run.
+// The values of the label "place": where a turn ran, compared with the previous turn of its
+// program.
 const (
-	placeSame    = "same"
-	placeOther   = "other"
-	placeUnknown = "unknown"
+	placementSame    = "same"
+	placementOther   = "other"
+	placementUnknown = "unknown"
 )
 
-// observeTurn counts a turn of a program by how it was opened and where it ran.
+// observeTurn records how long a turn's reservation took and where the turn ran.
 func (m *Metrics) observeTurn(r *request) {
 	if r.reservation == nil {
 		return
 	}
-	if r.opening > 0 {
-		m.openings.WithLabelValues(strconv.FormatBool(r.ahead)).Observe(r.opening.Seconds())
+	if r.openDuration > 0 {
+		m.reservationDuration.WithLabelValues(strconv.FormatBool(r.ahead)).Observe(r.openDuration.Seconds())
 	}
 	if r.engine == "" || r.call == nil {
 		return
 	}
-	place := placeOther
+	placement := placementOther
 	switch r.call.Want.Preferred {
 	case "":
-		place = placeUnknown
+		placement = placementUnknown
 	case r.engine:
-		place = placeSame
+		placement = placementSame
 	}
-	m.places.WithLabelValues(place).Inc()
+	m.placements.WithLabelValues(placement).Inc()
 }
 
-func (m *Metrics) lineDropped() {
+func (m *Metrics) countDroppedLine() {
 	if m != nil {
-		m.dropped.Inc()
+		m.droppedLines.Inc()
 	}
 }
 
-// resumed counts a run that was to go on with a stream.
-func (m *Metrics) resumed(outcome string) {
+// countResumption counts an attempt to continue a stream.
+func (m *Metrics) countResumption(outcome string) {
 	if m != nil {
 		m.resumptions.WithLabelValues(outcome).Inc()
 	}
--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -18,23 +18,24 @@
 )
 
 const (
-	// connectionShare is the part of an engine's connections that one gateway may open.
-	connectionShare = 12
-	// minimalConnections is what it may open in any case.
-	minimalConnections = 4
-	// readinessInterval is how often a gateway that is not ready yet looks again.
-	readinessInterval = 30 * time.Millisecond
-	// drainDelay is how long a stopping gateway takes new connections, until the platform has
-	// noticed that it is not ready.
+	// connectionDivisor divides an engine's connection limit among gateways.
+	connectionDivisor = 12
+	// minConnections is the lower bound of a gateway's share.
+	minConnections = 4
+	// readinessPollInterval is how often a starting gateway checks whether it is ready.
+	readinessPollInterval = 30 * time.Millisecond
+	// drainDelay is how long a stopping gateway accepts new connections, until the platform has
+	// seen that it is not ready.
 	drainDelay = 3200 * time.Millisecond
-	// drainMargin is left of the time to stop when what still runs is given up.
+	// drainMargin is the part of the grace period that is left when remaining requests are
+	// abandoned.
 	drainMargin = 700 * time.Millisecond
-	// headerTimeout and idleTimeout are above what callers are promised, so that a caller's own
-	// limits come first.
+	// headerTimeout and idleTimeout exceed the limits promised to callers, so that a caller's own
+	// limits apply first.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 90 * time.Second
-	// maximalHeaderBytes bounds what is read before the configured limit is looked at.
-	maximalHeaderBytes = 64 << 10
+	// maxHeaderBytes bounds the head of a request before the configured limit is checked.
+	maxHeaderBytes = 64 << 10
 )
 
 // NodeOptions configure a Node.
@@ -45,18 +46,18 @@
 	Dial           func(ctx context.Context, address string) (net.Conn, error)
 	CacheBytes     int64
 	Source         catalog.Source
-	// StaleAfter is the age from which contact with the store does not count as fresh.
+	// StaleAfter is the age at which the last contact with the store is considered stale.
 	StaleAfter time.Duration
-	// FirstStart is true only at the very first start of the whole system.
+	// FirstStart is set only at the first start of the whole system.
 	FirstStart bool
-	// Seeds returns the addresses of replicas to begin with.
+	// Seeds returns the addresses of the replicas to contact first.
 	Seeds   func() []string
 	Network *transport.Transport
 	Logger  *events.Logger
 	Metrics *Metrics
 }
 
-// Node is a gateway: it learns routes, engines and replicas from the catalog, and serves callers.
+// Node is a gateway: it gets routes, engines and replicas from the catalog and serves callers.
 type Node struct {
 	options  NodeOptions
 	catalog  *catalog.Manager
@@ -64,15 +65,16 @@
 	turns    *turnstore.Client
 	server   *Server
 	table    atomic.Pointer[routing.Table]
-	// routedAt is when the first routes came; wasSettled stays true once they were up to date.
-	routedAt   atomic.Pointer[time.Time]
-	wasSettled atomic.Bool
-	ready      atomic.Bool
-	stopping   atomic.Bool
-	applying   sync.Mutex
+	// routesInstalledAt is when the first routes were installed. routesWereReady stays true once
+	// they were current.
+	routesInstalledAt atomic.Pointer[time.Time]
+	routesWereReady   atomic.Bool
+	ready             atomic.Bool
+	stopping          atomic.Bool
+	applyMutex        sync.Mutex
 }
 
-// NewNode returns a Node that knows nothing yet.
+// NewNode returns a Node with an empty catalog.
 func NewNode(options NodeOptions) *Node {
 	registry := dispatch.NewRegistry(options.Zone, options.Dial, options.Logger)
 	node := &Node{
@@ -86,39 +88,39 @@
 		FirstStart: options.FirstStart, OnOutage: registry.NoteOutage,
 	}, options.Network, options.Logger)
 	node.server = New(Options{
-		Table: node.table.Load, RoutesReady: node.settled, CallerProtocol: options.CallerProtocol, Registry: node.registry, Turns: node.turns,
+		Table: node.table.Load, RoutesReady: node.routesReady, CallerProtocol: options.CallerProtocol, Registry: node.registry, Turns: node.turns,
 		Dispatcher: dispatch.New(node.registry, options.Protocol, options.Logger), Logger: options.Logger, Metrics: options.Metrics,
 		CatalogAge: node.catalog.Age,
 	})
 	return node
 }
 
-// peers lists the replicas, those of this zone first, then the seeds.
+// peers lists the addresses of the replicas of this zone, then of the others, then of the seeds.
 func (n *Node) peers() []string {
-	var near, far []string
+	var local, remote []string
 	for _, member := range n.turns.Set().All() {
 		if member.Zone == n.options.Zone {
-			near = append(near, member.Address)
+			local = append(local, member.Address)
 		} else {
-			far = append(far, member.Address)
+			remote = append(remote, member.Address)
 		}
 	}
-	return unique(append(append(near, far...), n.options.Seeds()...))
+	return deduplicate(append(append(local, remote...), n.options.Seeds()...))
 }
 
-func unique(addresses []string) []string {
+func deduplicate(addresses []string) []string {
 	seen := make(map[string]bool, len(addresses))
-	var kept []string
+	var unique []string
 	for _, address := range addresses {
 		if !seen[address] {
 			seen[address] = true
-			kept = append(kept, address)
+			unique = append(unique, address)
 		}
 	}
-	return kept
+	return unique
 }
 
-// apply takes a changed entry of the catalog.
+// apply handles a changed catalog entry.
 func (n *Node) apply(entry catalog.Entry) {
 	kind, _ := catalog.SplitKey(entry.Key)
 	switch kind {
@@ -134,7 +136,7 @@
 	}
 }
 
-// applyConfiguration puts a configuration in force unless a newer one is.
+// applyConfiguration installs a configuration unless a newer one is installed.
 func (n *Node) applyConfiguration(entry catalog.Entry) {
 	var specification routing.Specification
 	if json.Unmarshal(entry.Value, &specification) != nil {
@@ -145,33 +147,33 @@
 		n.options.Logger.Emit(events.ConfigRejected, events.F("revision", entry.Revision), events.F("error", err))
 		return
 	}
-	n.applying.Lock()
-	defer n.applying.Unlock()
+	n.applyMutex.Lock()
+	defer n.applyMutex.Unlock()
 	if current := n.table.Load(); current != nil && current.Version() >= table.Version() {
 		return
 	}
 	for _, service := range specification.Services {
-		n.registry.SetConnectionLimit(service.Name, max(service.MaxConnections/connectionShare, minimalConnections))
+		n.registry.SetConnectionLimit(service.Name, max(service.MaxConnections/connectionDivisor, minConnections))
 	}
 	if n.table.Swap(table) == nil {
 		now := time.Now()
-		n.routedAt.Store(&now)
+		n.routesInstalledAt.Store(&now)
 	}
 	n.options.Logger.Emit(events.RoutesInstalled, events.F("version", table.Version()), events.F("revision", entry.Revision),
 		events.F("routes", len(specification.Routes)), events.F("store_age_millis", n.catalog.Age().Milliseconds()))
 }
 
-// Run learns until the context ends.
+// Run keeps the catalog up to date until the context ends.
 func (n *Node) Run(ctx context.Context) {
-	go n.becomeReady(ctx)
+	go n.awaitReadiness(ctx)
 	go n.turns.WatchReach(ctx)
 	go n.options.Network.KeepRelays(ctx, n.peers)
 	n.catalog.Run(ctx)
 }
 
-// becomeReady waits until the gateway can serve each kind of request.
-func (n *Node) becomeReady(ctx context.Context) {
-	ticker := time.NewTicker(readinessInterval)
+// awaitReadiness waits until the gateway can serve every kind of request.
+func (n *Node) awaitReadiness(ctx context.Context) {
+	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
 	for !n.canServe(ctx) {
 		select {
@@ -185,19 +187,19 @@
 }
 
 func (n *Node) canServe(ctx context.Context) bool {
-	if !n.settled() || !n.registry.Any() {
+	if !n.routesReady() || !n.registry.Any() {
 		return false
 	}
-	askContext, cancel := context.WithTimeout(ctx, time.Second)
+	readyContext, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return n.turns.Ready(askContext)
+	return n.turns.Ready(readyContext)
 }
 
-// Ready tells whether callers' connections should come here. A gateway that is cut off from the replicas can't
-// serve turns, which others may.
+// Ready reports whether the gateway should get connections. Without contact with the replicas it
+// can't serve turns, which other gateways may.
 func (n *Node) Ready() bool { return n.ready.Load() && !n.stopping.Load() && n.turns.Reachable() }
 
-// ServeReadiness answers the platform's question whether this node is ready.
+// ServeReadiness handles the platform's readiness probe.
 func (n *Node) ServeReadiness(writer http.ResponseWriter, _ *http.Request) {
 	if !n.Ready() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -209,13 +211,14 @@
 // NewHTTPServer returns the server for callers' connections.
 func (n *Node) NewHTTPServer() *http.Server {
 	return &http.Server{
-		Handler: n.server, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maximalHeaderBytes,
-		ConnContext: withConnection,
+		Handler: n.server, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnContext: contextWithConnection,
 	}
 }
 
-// Stop ends the node in order: it is not ready at once, answers are the last of their connections,
-// and after a while no connections are taken. What still runs has until grace is over.
+// Stop shuts the node down gracefully: it reports not ready at once, closes connections after their
+// current response, and later stops accepting connections. Requests that are still running are
+// abandoned shortly before the end of grace.
 func (n *Node) Stop(server *http.Server, grace time.Duration) {
 	n.stopping.Store(true)
 	n.server.Drain()
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -11,30 +11,30 @@
 	"github.com/mountstile/mountstile/internal/upstream"
 )
 
-// maximalAnswerBytes bounds an answer that is held until it is whole.
-const maximalAnswerBytes = 16 << 20
+// maxBufferedResponseBytes bounds a response that is buffered until it is complete.
+const maxBufferedResponseBytes = 16 << 20
 
-// errAnswerTooLarge means that an answer is larger than a node holds.
-type errAnswerTooLarge struct{}
+// errResponseTooLarge means that a response exceeds maxBufferedResponseBytes.
+type errResponseTooLarge struct{}
 
 // Error implements error.
-func (errAnswerTooLarge) Error() string { return "the answer is too large" }
+func (errResponseTooLarge) Error() string { return "the response exceeds the buffer limit" }
 
-// relayWhole reads an answer to its end before the caller gets any of it, so that one that breaks
-// off can be replaced by another.
-func (r *request) relayWhole(ctx context.Context, call *dispatch.Call) error {
+// relayBuffered reads the complete response before the caller gets any of it, so that the call can
+// be retried if it ends early.
+func (r *request) relayBuffered(ctx context.Context, call *dispatch.Call) error {
 	return r.server.options.Dispatcher.Run(ctx, call, func(attempt *dispatch.Attempt) error {
 		response := attempt.Response()
-		body, err := io.ReadAll(io.LimitReader(response.Body, maximalAnswerBytes+1))
-		if err == nil && len(body) > maximalAnswerBytes {
-			err = errAnswerTooLarge{}
+		body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponseBytes+1))
+		if err == nil && len(body) > maxBufferedResponseBytes {
+			err = errResponseTooLarge{}
 		}
 		if err != nil {
 			return dispatch.Broken(false, err)
 		}
 		r.server.options.Registry.Observe(attempt.Engine(), "route "+r.route.Name(), time.Since(attempt.SentAt()))
-		r.writeHead(attempt)
-		if r.http.Method != http.MethodHead {
+		r.setHead(attempt)
+		if r.incoming.Method != http.MethodHead {
 			r.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		}
 		r.writer.WriteHeader(response.StatusCode)
@@ -43,11 +43,11 @@
 	})
 }
 
-// writeHead copies the engine's headers.
-func (r *request) writeHead(attempt *dispatch.Attempt) {
+// setHead records the start of the response and copies the engine's headers.
+func (r *request) setHead(attempt *dispatch.Attempt) {
 	r.engine = attempt.Engine().ID()
 	r.status = attempt.Response().StatusCode
-	r.sent = true
+	r.headSent = true
 	header := r.writer.Header()
 	for name, values := range upstream.PassedOn(attempt.Response().Header) {
 		header[name] = values
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -12,38 +12,40 @@
 	"github.com/mountstile/mountstile/internal/turnstore"
 )
 
-// runAheadAfter is how long the replicas may take to reserve a turn's tokens before the turn is sent to an engine
-// beside it. In calm times they take 2 to 6 ms, in bursts up to 20; longer ones are those of replicas that are just coming back.
-const runAheadAfter = 50 * time.Millisecond
+// runAheadDelay is how long the reservation of a turn's tokens may take before the turn is sent to
+// an engine in parallel. It is longer than a reservation takes while replicas are up.
+const runAheadDelay = 50 * time.Millisecond
 
-// reservation is the opening of a turn. Its fields may be read once done is closed.
+// reservation is the pending reservation of a turn's tokens. Its fields may be read once done is
+// closed.
 type reservation struct {
 	done   chan struct{}
 	opened *turnstore.Opened
 	err    error
-	// took is how long the opening was under way.
-	took time.Duration
+	// duration is how long the reservation took.
+	duration time.Duration
 }
 
-// reserve begins to open a turn. If that fails, stop is called with the failure before anybody learns of it.
-func (r *request) reserve(ctx context.Context, opening turnstore.Opening, stop context.CancelCauseFunc) *reservation {
-	begun := &reservation{done: make(chan struct{})}
+// reserve starts the reservation for a turn. If it fails, cancelCause is called with the error
+// before done is closed.
+func (r *request) reserve(ctx context.Context, opening turnstore.Opening, cancelCause context.CancelCauseFunc) *reservation {
+	pending := &reservation{done: make(chan struct{})}
 	startedAt := time.Now()
 	go func() {
-		begun.opened, begun.err = r.server.options.Turns.Open(ctx, opening)
-		begun.took = time.Since(startedAt)
-		if begun.err != nil {
-			stop(begun.err)
+		pending.opened, pending.err = r.server.options.Turns.Open(ctx, opening)
+		pending.duration = time.Since(startedAt)
+		if pending.err != nil {
+			cancelCause(pending.err)
 		}
-		close(begun.done)
+		close(pending.done)
 	}()
-	return begun
+	return pending
 }
 
-// openTurn reserves the budget and finds the turns before this one. While replicas come back after a loss of power, a
-// turn that may run more than once runs beside its reservation, and its events are held until that is certain; so the
-// engine's time and the replicas' pass together. With replicas 0.3 s later than gateways, as much is gained for each turn.
-func (r *request) openTurn(ctx context.Context, stop context.CancelCauseFunc) error {
+// openTurn reserves the budget and looks up the previous turns. If this takes long, as after
+// replicas lost power, a repeatable turn runs in parallel with its reservation and its events are
+// buffered until that succeeds, so that the delays of engines and replicas overlap.
+func (r *request) openTurn(ctx context.Context, cancelCause context.CancelCauseFunc) error {
 	if r.route.Kind() != routing.Stream || (r.caller.Budget == NoBudget && !r.route.Kept()) {
 		return nil
 	}
@@ -53,10 +55,10 @@
 	if r.route.Kept() {
 		opening.Previous = r.caller.Previous
 	}
-	r.reservation = r.reserve(ctx, opening, stop)
-	ahead := time.NewTimer(runAheadAfter)
+	r.reservation = r.reserve(ctx, opening, cancelCause)
+	ahead := time.NewTimer(runAheadDelay)
 	defer ahead.Stop()
-	if r.mayRunAhead() {
+	if r.canRunAhead() {
 		select {
 		case <-r.reservation.done:
 		case <-ahead.C:
@@ -67,27 +69,28 @@
 	return r.awaitReservation()
 }
 
-// mayRunAhead tells whether the turn may be sent to an engine before it is certain that its budget has room for it. Once
-// an opening has met too few replicas, it would most likely run in vain: on 57 gateways, 526 turns did so in a second
-// in which two of four replicas were lost.
-func (r *request) mayRunAhead() bool {
+// canRunAhead reports whether the turn may be sent to an engine before its budget is reserved.
+// After a reservation has failed for lack of replicas, this one would probably fail too and the
+// turn run in vain.
+func (r *request) canRunAhead() bool {
 	return r.route.Repeatable() && !r.route.Kept() && r.server.options.Turns.Steady(r.caller.Program)
 }
 
-// awaitReservation waits until the turn is opened or can't be. The opening ends with the request's context at the
-// latest.
+// awaitReservation waits until the reservation succeeds or fails. It ends with the request's
+// context at the latest.
 func (r *request) awaitReservation() error {
 	if r.reservation == nil {
 		return nil
 	}
 	<-r.reservation.done
-	r.opened, r.opening = r.reservation.opened, r.reservation.took
+	r.opened, r.openDuration = r.reservation.opened, r.reservation.duration
 	return r.reservation.err
 }
 
-// denied is what a caller is told of a turn whose reservation failed while it ran: that it was not run only if nothing of
-// it reached an engine. Other failures stay as they are.
-func (r *request) denied(ctx context.Context, err error) error {
+// reservationError returns the error for a turn whose reservation failed while it ran: the
+// reservation's error, which says that the turn did not run, only if no engine got it. Other errors
+// are returned unchanged.
+func (r *request) reservationError(ctx context.Context, err error) error {
 	var withdrawn *dispatch.ErrWithdrawn
 	if errors.As(err, &withdrawn) {
 		return apierr.New(apierr.ExecutionUnknown, apierr.Ran, "%s", err)
@@ -102,8 +105,8 @@
 	return err
 }
 
-// settle gives back what the turn did not generate of its reservation. A reservation that nobody has waited for ends
-// with the request's context, and gives back all.
+// settle releases the reserved tokens that the turn did not generate. A reservation that was never
+// awaited ends with the request's context and is released completely.
 func (r *request) settle(generated int64) {
 	if r.opened == nil && r.ahead {
 		go func() {
--- a/internal/ingress/resumefaults_test.go
+++ b/internal/ingress/resumefaults_test.go
@@ -14,45 +14,45 @@
 	"github.com/mountstile/mountstile/internal/routing"
 )
 
-// allResumable makes all streams resumable.
-func (s *site) allResumable() {
-	s.configure(2, func(specification *routing.Specification) {
+// makeStreamsResumable makes all stream routes resumable.
+func (c *testCluster) makeStreamsResumable() {
+	c.configure(2, func(specification *routing.Specification) {
 		for index := range specification.Routes {
 			specification.Routes[index].Resumable = specification.Routes[index].Kind == routing.Stream
 		}
 	})
 }
 
-// A caller whose connection broke takes a kept turn up after the event that it has. What this gateway passes on is half the
-// answer; kept as the turn, it would be given to engines as the whole of it.
-func TestRestOfATurnIsNotKeptAsTheTurn(t *testing.T) {
+// A caller resumes a kept turn after an event that it has. The continuation alone must not be
+// stored as the turn, since later prompts would then contain only half of it.
+func TestContinuationIsNotStoredAsTheTurn(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
-	s.withReplica()
-	s.allResumable()
+	cluster := newTestCluster(t)
+	cluster.withReplica()
+	cluster.makeStreamsResumable()
 	prompts := make(chan string, 2)
-	s.engine("e", func(call *engineCall) {
+	cluster.engine("e", func(call *engineCall) {
 		prompts <- call.body
 		call.rest()
 	})
-	_ = s.send("/kept/", "t1", "in\n", "After", "2")
+	_ = cluster.send("/kept/", "t1", "in\n", "After", "2")
 	<-prompts
-	_ = s.send("/kept/", "t2", "next\n", "Previous", "t1")
+	_ = cluster.send("/kept/", "t2", "next\n", "Previous", "t1")
 	select {
 	case prompt := <-prompts:
-		assert.Assert(t, !strings.HasPrefix(prompt, "in\ne3\ne4\n"), "half the answer is the history: %q", prompt)
+		assert.Assert(t, !strings.HasPrefix(prompt, "in\ne3\ne4\n"), "the prompt has only half of the turn: %q", prompt)
 	default:
 	}
 }
 
-// An engine whose weights have changed is well. That it can't go on with one stream is no reason to ask it in vain again and again,
-// and to take it from all other callers.
-func TestEngineOfOtherWeightsStaysInUse(t *testing.T) {
+// An engine whose weights have changed is healthy. That it can't continue a stream must not cause
+// repeated attempts or open its circuit breaker for other callers.
+func TestWeightsMismatchDoesNotDisableEngine(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
-	engine := s.engine("e", func(call *engineCall) {
+	cluster := newTestCluster(t)
+	engine := cluster.engine("e", func(call *engineCall) {
 		weights := 7 + min(call.number-1, 1)
-		call.head("HTTP/1.1", 200, eventStreamType, fmt.Sprintf("Weights: %d", weights), "Connection: close")
+		call.writeHead("HTTP/1.1", 200, eventStreamHeader, fmt.Sprintf("Weights: %d", weights), "Connection: close")
 		if call.number == 1 {
 			call.write("%s", firstHalf)
 			call.reset()
@@ -61,34 +61,35 @@
 		call.write("%s", wholeStream)
 		_ = call.connection.Close()
 	})
-	got := s.send("/resume/", "c1", "")
+	got := cluster.send("/resume/", "c1", "")
 	assert.Assert(t, got.err != nil)
 	runs := engine.runs.Load()
-	assert.Equal(t, s.send("/resume/", "c2", "").status, http.StatusOK)
-	assert.Assert(t, runs <= 3, "the engine ran it %d times", runs)
+	assert.Equal(t, cluster.send("/resume/", "c2", "").status, http.StatusOK)
+	assert.Assert(t, runs <= 3, "the engine got the call %d times", runs)
 }
 
-// A caller may name any event as its last one. An engine whose answer does not fit that is well, and stays in use for others.
-func TestCallersLastEventDoesNotTakeAnEngineFromOthers(t *testing.T) {
+// A caller may name an unknown event as its last one. The engine whose stream doesn't match stays
+// available to others.
+func TestUnknownLastEventDoesNotDisableEngine(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
-	s.engine("e", func(call *engineCall) {
+	cluster := newTestCluster(t)
+	cluster.engine("e", func(call *engineCall) {
 		call.beginStream()
 		call.chunk(wholeStream)
 		call.endStream()
 	})
-	_ = s.send("/resume/", "c1", "", "After", "99")
-	got := s.send("/resume/", "c2", "")
+	_ = cluster.send("/resume/", "c1", "", "After", "99")
+	got := cluster.send("/resume/", "c2", "")
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, got.body, wholeStream)
 }
 
-// Of a turn that broke off and went on, each event that its caller got is charged once: no less, and no more.
-func TestEventsOfAllRunsAreChargedOnce(t *testing.T) {
+// Each event of an interrupted and resumed turn is charged exactly once.
+func TestEventsOfAllAttemptsAreChargedOnce(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
-	s.withReplica()
-	s.engine("e", func(call *engineCall) {
+	cluster := newTestCluster(t)
+	cluster.withReplica()
+	cluster.engine("e", func(call *engineCall) {
 		switch {
 		case call.request.Header.Get("After") != "":
 			call.rest()
@@ -97,52 +98,52 @@
 			call.chunk(firstHalf + "id: 3\ndata: e")
 			call.reset()
 		default:
-			call.answer(500, "out of memory\n")
+			call.reply(500, "out of memory\n")
 		}
 	})
 	turn := func(id, most string) int {
-		return s.send("/resume/", id, "in", "Program", "p", "Budget", "60", "Most", most).status
+		return cluster.send("/resume/", id, "in", "Program", "p", "Budget", "60", "Most", most).status
 	}
-	eventually(t, "the replica takes the first turn", func() bool { return turn("t1", "45") != http.StatusServiceUnavailable })
-	eventually(t, "36 tokens of 60 are charged, and no more", func() bool { return turn("t2", "24") == http.StatusInternalServerError })
-	eventually(t, "36 tokens of 60 are charged, and no less", func() bool { return turn("t3", "25") == http.StatusPaymentRequired })
+	eventually(t, "the replica accepts the first turn", func() bool { return turn("t1", "45") != http.StatusServiceUnavailable })
+	eventually(t, "at most 36 tokens of 60 are charged", func() bool { return turn("t2", "24") == http.StatusInternalServerError })
+	eventually(t, "at least 36 tokens of 60 are charged", func() bool { return turn("t3", "25") == http.StatusPaymentRequired })
 }
 
-// The same through the listener of the program, whose connections are wrapped.
-func TestOlderCallerIsCutThroughTheNodesListener(t *testing.T) {
+// HTTP/1.0 callers get a reset also through Node.Listener, which wraps connections.
+func TestInterruptionWithHTTP10ThroughListener(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
-	s.engine("e", failWhileResuming)
+	cluster := newTestCluster(t)
+	cluster.engine("e", failAfterFirstHalf)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	server := s.node.NewHTTPServer()
-	go func() { _ = server.Serve(s.node.Listener(inner)) }()
+	server := cluster.node.NewHTTPServer()
+	go func() { _ = server.Serve(cluster.node.Listener(inner)) }()
 	t.Cleanup(func() { _ = server.Close() })
-	got, err := sendOld(t, inner.Addr().String())
-	assert.Assert(t, err != nil, "the answer looks whole: %q", got)
+	got, err := sendHTTP10(t, inner.Addr().String())
+	assert.Assert(t, err != nil, "the response looks complete: %q", got)
 }
 
-// An answer that switches protocols belongs to no request here.
-func TestSwitchOfProtocolsIsNoAnswer(t *testing.T) {
+// A response that switches protocols is invalid.
+func TestSwitchingProtocolsIsRejected(t *testing.T) {
 	t.Parallel()
 	for _, path := range []string{"/safe/", "/unsafe/", "/stream/", "/resume/"} {
-		s := newSite(t)
-		s.engine("e", func(call *engineCall) {
-			call.head("HTTP/1.1", 101, "Upgrade: x", "Connection: Upgrade")
+		cluster := newTestCluster(t)
+		cluster.engine("e", func(call *engineCall) {
+			call.writeHead("HTTP/1.1", 101, "Upgrade: x", "Connection: Upgrade")
 			call.write("bytes of another protocol")
 			_ = call.connection.Close()
 		})
-		assert.Equal(t, s.send(path, "c1", "").status, http.StatusBadGateway, path)
+		assert.Equal(t, cluster.send(path, "c1", "").status, http.StatusBadGateway, path)
 	}
 }
 
-// A caller that leaves while a stream is to be asked for again: the engine gets nothing more.
-func TestNoRunBeginsOnceTheCallerHasLeft(t *testing.T) {
+// No attempt begins after the caller has disconnected during a resumption.
+func TestNoAttemptAfterCallerDisconnects(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	cluster := newTestCluster(t)
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
-	engine := s.engine("e", func(call *engineCall) {
+	engine := cluster.engine("e", func(call *engineCall) {
 		if call.number == 1 {
 			call.beginStream()
 			call.chunk(firstHalf)
@@ -151,15 +152,15 @@
 		}
 		if call.number == 4 {
 			leave()
-			call.gone()
+			call.awaitClose()
 			return
 		}
-		call.answer(500, "out of memory\n")
+		call.reply(500, "out of memory\n")
 	})
-	response, err := s.begin(ctx, "/resume/", "c1", "")
+	response, err := cluster.startRequest(ctx, "/resume/", "c1", "")
 	assert.NilError(t, err)
 	_, _ = io.ReadAll(response.Body)
 	_ = response.Body.Close()
-	eventually(t, "the request ends", func() bool { return s.node.server.Active() == 0 })
+	eventually(t, "the request ends", func() bool { return cluster.node.server.Active() == 0 })
 	assert.Equal(t, engine.runs.Load(), int64(4))
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,16 +1,15 @@
-// Package ingress serves callers' requests on operators' routes: it finds the route, keeps what the
-// caller may send within the limits, opens the turn if it is one, has the call brought to an engine,
-// and passes the answer back as it comes.
+// Package ingress serves callers' requests on operators' routes: it finds the route, enforces the limits, opens the turn
+// if the request is one, dispatches the call to an engine, and relays the response as it arrives.
 //
-// A broken answer is never ended as if it were whole: the connection is reset. A request that was
-// not run is refused at once, with when to come back.
+// An incomplete response is never ended as if it were complete: the connection is reset. A request that was not run is
+// refused at once with a Retry-After header.
 //
 // Usage:
 //
 //	server := ingress.New(ingress.Options{...})
 //	httpServer := &http.Server{Handler: server}
 //	...
-//	server.Drain()   // answers carry "Connection: close" from now on
+//	server.Drain()   // responses have "Connection: close" from now on
 package ingress
 
 import (
@@ -35,44 +34,44 @@
 // NoBudget is the budget of a caller whose program has none.
 const NoBudget = -1
 
-// Caller is what a caller's headers say.
+// Caller holds the values of a caller's headers.
 type Caller struct {
 	ID string
-	// TimeLimit is how long the caller waits; 0 if it didn't say.
+	// TimeLimit is how long the caller waits; 0 if it is not given.
 	TimeLimit time.Duration
 	Program   string
 	Session   string
-	// ProgramTimeLimit is the time left for the whole program, 0 if it is over; HasProgramTimeLimit tells whether the caller
-	// named it.
+	// ProgramTimeLimit is the time left for the whole program, 0 if it is over; HasProgramTimeLimit
+	// is set if the caller gave it.
 	ProgramTimeLimit    time.Duration
 	HasProgramTimeLimit bool
-	// Budget is NoBudget or what the program's turns may generate together, in tokens.
+	// Budget is the number of tokens that the program's turns may generate together, or NoBudget.
 	Budget int64
-	// Most is the most that this request may generate, in tokens.
+	// Most is the maximum number of tokens that this request may generate.
 	Most int64
-	// Previous is the turn that this one continues.
+	// Previous is the ID of the turn that this one continues.
 	Previous string
 	// LastEvent is the ID of the last event of this stream that the caller has; empty at its start.
 	LastEvent string
-	// Prompt is what the caller says of its prompt's parts.
+	// Prompt describes the parts of the prompt.
 	Prompt dispatch.Prompt
 }
 
-// CallerProtocol reads callers' headers; it varies between platforms.
+// CallerProtocol parses callers' headers; it varies between platforms.
 type CallerProtocol interface {
-	// Caller reads the headers; the error is an apierr.Error with the code InvalidRequest.
+	// Caller parses the headers; the error is an apierr.Error with the code InvalidRequest.
 	Caller(header http.Header) (Caller, error)
-	// WeightsVersion names the header of an answer, and the field of an event, that tell the version of the weights
-	// which an engine uses; empty where engines don't tell.
+	// WeightsVersion returns the response header and the event field that contain the version of
+	// the engine's weights; empty if engines don't send it.
 	WeightsVersion() (header, eventField string)
 }
 
 // Options configure a Server.
 type Options struct {
-	// Table returns the routes in force; nil before there are any.
+	// Table returns the installed routes; nil before there are any.
 	Table func() *routing.Table
-	// RoutesReady tells whether the routes are those that a request is to be handled by: there are some, and they are not older
-	// than what this node may have had before it was restarted, as far as it can find out.
+	// RoutesReady reports whether requests may use the installed routes: there are some, and as far
+	// as the node can find out they are not older than those it had before a restart.
 	RoutesReady    func() bool
 	CallerProtocol CallerProtocol
 	Dispatcher     *dispatch.Dispatcher
@@ -80,7 +79,7 @@
 	Turns          *turnstore.Client
 	Logger         *events.Logger
 	Metrics        *Metrics
-	// CatalogAge is how old the node's knowledge of configuration and engines may be.
+	// CatalogAge returns the maximum age of the node's configuration and engine records.
 	CatalogAge func() time.Duration
 }
 
@@ -89,51 +88,51 @@
 	options  Options
 	draining atomic.Bool
 	active   atomic.Int64
-	lines    *lineLimit
+	logLimit *logLimiter
 }
 
 // New returns a Server.
-func New(options Options) *Server { return &Server{options: options, lines: newLineLimit()} }
+func New(options Options) *Server { return &Server{options: options, logLimit: newLogLimiter()} }
 
-// Drain makes each further answer the last one of its connection.
+// Drain makes every further response the last one of its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Active is how many requests are under way.
+// Active returns the number of requests in progress.
 func (s *Server) Active() int64 { return s.active.Load() }
 
-// request is one caller's request on its way.
+// request is a caller's request in progress.
 type request struct {
 	server    *Server
 	writer    http.ResponseWriter
-	http      *http.Request
+	incoming  *http.Request
 	caller    Caller
 	route     *routing.Route
 	service   routing.ServiceSpecification
 	version   int64
 	arrivedAt time.Time
 	body      []byte
-	// reservation is the opening of the turn, which may still be under way while it runs; nil for calls that need none.
+	// reservation may still be pending while the turn runs; nil for calls that need none.
 	reservation *reservation
 	opened      *turnstore.Opened
-	// ahead tells that the turn runs beside its reservation.
+	// ahead is set if the turn runs in parallel with its reservation.
 	ahead bool
 
-	// What the log line tells.
+	// The following are for the log line and the metrics.
 	call         *dispatch.Call
-	opening      time.Duration
+	openDuration time.Duration
 	engine       string
 	status       int
 	firstEventAt time.Time
-	sent         bool
-	// ended is how the stream ended; nil for calls that are none.
-	ended *streamEnding
+	headSent     bool
+	// outcome is how the stream ended; nil for other calls.
+	outcome *streamOutcome
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Server) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
+func (s *Server) ServeHTTP(writer http.ResponseWriter, req *http.Request) {
 	s.active.Add(1)
 	defer s.active.Add(-1)
-	current := &request{server: s, writer: writer, http: incoming, arrivedAt: time.Now()}
+	current := &request{server: s, writer: writer, incoming: req, arrivedAt: time.Now()}
 	if s.draining.Load() {
 		writer.Header().Set("Connection", "close")
 	}
@@ -142,29 +141,29 @@
 	if err == nil {
 		return
 	}
-	if current.sent {
-		current.cut()
+	if current.headSent {
+		current.abort()
 	}
-	current.refuse(err)
+	current.writeError(err)
 }
 
 func (r *request) serve() error {
 	if err := r.prepare(); err != nil {
 		return err
 	}
-	limited, cancel := context.WithDeadline(r.http.Context(), r.deadline())
+	deadlineContext, cancel := context.WithDeadline(r.incoming.Context(), r.deadline())
 	defer cancel()
-	ctx, stop := context.WithCancelCause(limited)
-	defer stop(nil)
-	if err := r.openTurn(ctx, stop); err != nil {
+	ctx, cancelCause := context.WithCancelCause(deadlineContext)
+	defer cancelCause(nil)
+	if err := r.openTurn(ctx, cancelCause); err != nil {
 		return err
 	}
-	err := r.denied(ctx, r.dispatch(ctx))
+	err := r.reservationError(ctx, r.dispatch(ctx))
 	if ctx.Err() == nil {
 		return err
 	}
-	if err != nil && errors.Is(r.http.Context().Err(), context.Canceled) {
-		return apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the caller left: %s", err)
+	if err != nil && errors.Is(r.incoming.Context().Err(), context.Canceled) {
+		return apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the caller disconnected: %s", err)
 	}
 	return err
 }
@@ -173,15 +172,15 @@
 func (r *request) prepare() error {
 	table := r.awaitRoutes()
 	if table == nil {
-		return apierr.New(apierr.StoreUnavailable, apierr.NotRun, "no configuration is known yet").WithRetryAfter(retryAfterStarting)
+		return apierr.New(apierr.StoreUnavailable, apierr.NotRun, "no configuration is installed yet").WithRetryAfter(startupRetryAfter)
 	}
 	r.version = table.Version()
-	route, found := table.Match(r.http.Host, r.http.URL.Path)
+	route, found := table.Match(r.incoming.Host, r.incoming.URL.Path)
 	if !found {
-		return apierr.New(apierr.NotFound, apierr.NotRun, "no route for %s%s", r.http.Host, r.http.URL.Path)
+		return apierr.New(apierr.NotFound, apierr.NotRun, "no route for %s%s", r.incoming.Host, r.incoming.URL.Path)
 	}
 	r.route = route
-	caller, err := r.server.options.CallerProtocol.Caller(r.http.Header)
+	caller, err := r.server.options.CallerProtocol.Caller(r.incoming.Header)
 	if err != nil {
 		return err
 	}
@@ -191,36 +190,36 @@
 	return r.readBody(table.Limits())
 }
 
-// retryAfterStarting tells callers when to come back to a node that has just started.
-const retryAfterStarting = 300 * time.Millisecond
+// startupRetryAfter is the Retry-After of a node that has no routes yet.
+const startupRetryAfter = 300 * time.Millisecond
 
 func (r *request) readBody(limits routing.LimitSpecification) error {
-	if limits.HeaderBytes > 0 && headerBytes(r.http) > limits.HeaderBytes {
-		return apierr.New(apierr.HeaderTooLarge, apierr.NotRun, "the headers have more than %d bytes", limits.HeaderBytes)
+	if limits.HeaderBytes > 0 && headerBytes(r.incoming) > limits.HeaderBytes {
+		return apierr.New(apierr.HeaderTooLarge, apierr.NotRun, "the headers exceed %d bytes", limits.HeaderBytes)
 	}
 	limit := limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyBytes
 	}
-	if r.http.ContentLength > limit {
-		return tooLarge(limit)
+	if r.incoming.ContentLength > limit {
+		return errBodyTooLarge(limit)
 	}
-	body, err := io.ReadAll(io.LimitReader(r.http.Body, limit+1))
+	body, err := io.ReadAll(io.LimitReader(r.incoming.Body, limit+1))
 	if err != nil {
 		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "reading the body: %s", err)
 	}
 	if int64(len(body)) > limit {
-		return tooLarge(limit)
+		return errBodyTooLarge(limit)
 	}
 	r.body = body
 	return nil
 }
 
-// defaultBodyBytes is the limit where the configuration has none.
+// defaultBodyBytes is the limit if none is configured.
 const defaultBodyBytes = 8 << 20
 
-func tooLarge(limit int64) error {
-	return apierr.New(apierr.BodyTooLarge, apierr.NotRun, "the body has more than %d bytes", limit)
+func errBodyTooLarge(limit int64) error {
+	return apierr.New(apierr.BodyTooLarge, apierr.NotRun, "the body exceeds %d bytes", limit)
 }
 
 func headerBytes(incoming *http.Request) int64 {
@@ -233,7 +232,7 @@
 	return int64(size)
 }
 
-// deadline is when the caller, or the route, gives the request up.
+// deadline returns when the time limit of the caller or of the route ends, whichever is first.
 func (r *request) deadline() time.Time {
 	limit := r.route.Timeout()
 	if r.caller.TimeLimit > 0 {
@@ -249,8 +248,8 @@
 		Priority: r.route.Priority(),
 		Want:     dispatch.Want{Service: r.service.Name},
 		Request: upstream.Request{
-			Method: r.http.Method, Target: r.http.RequestURI, Host: r.http.Host,
-			Header: upstream.PassedOn(r.http.Header), Body: r.prompt(),
+			Method: r.incoming.Method, Target: r.incoming.RequestURI, Host: r.incoming.Host,
+			Header: upstream.PassedOn(r.incoming.Header), Body: r.upstreamBody(),
 		},
 	}
 	r.call = call
@@ -265,7 +264,7 @@
 	if r.route.Kind() == routing.Stream {
 		return r.relayStream(ctx, call)
 	}
-	return r.relayWhole(ctx, call)
+	return r.relayBuffered(ctx, call)
 }
 
 func (r *request) affinity() string {
@@ -275,16 +274,17 @@
 	return r.caller.Prompt.Shared
 }
 
-// prompt is what the engine gets: all turns before this one, then what the caller sent.
-func (r *request) prompt() []byte {
+// upstreamBody returns the request body for the engine: the text of the previous turns followed by
+// the caller's body.
+func (r *request) upstreamBody() []byte {
 	if r.opened == nil || len(r.opened.Prefix) == 0 {
 		return r.body
 	}
 	return append(r.opened.Prefix[:len(r.opened.Prefix):len(r.opened.Prefix)], r.body...)
 }
 
-// statusOf is the status that a caller gets for a failure. 503 promises that the request was not run, which is what a caller
-// needs to know to send it again: it gets that status if it is so, and never if it isn't.
+// statusOf returns the HTTP status for an error. Callers rely on 503 to mean that the request was
+// not run and may be sent again, so 503 is used for such requests and for no others.
 func statusOf(failure *apierr.Error) int {
 	status := failure.HTTPStatus()
 	switch {
@@ -296,8 +296,8 @@
 	return status
 }
 
-// refuse answers a request to which nothing was sent yet.
-func (r *request) refuse(err error) {
+// writeError sends the error response of a request to which no response was begun.
+func (r *request) writeError(err error) {
 	failure := apierr.From(err, apierr.OutcomeUnknown)
 	status := statusOf(failure)
 	header := r.writer.Header()
@@ -305,7 +305,7 @@
 		header.Set("Retry-After", strconv.FormatFloat(float64(failure.RetryAfter)/1000, 'f', 3, 64))
 	}
 	if failure.Code == apierr.TurnsUnavailable {
-		// The caller's next connection may come to a gateway that reaches the replicas.
+		// The caller's next connection may reach a gateway that has contact with the replicas.
 		header.Set("Connection", "close")
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/ingress/stall.go
+++ b/internal/ingress/stall.go
@@ -6,60 +6,62 @@
 )
 
 const (
-	// firstEventStall and eventStall are how long a resumable stream may be silent before it is asked
-	// for again: before its first event it may stand in the engine's line, after it the engine has
-	// either lost the answer or stands still.
-	firstEventStall = 1500 * time.Millisecond
-	eventStall      = 700 * time.Millisecond
+	// firstEventTimeout and nextEventTimeout are how long a resumable stream may be silent before
+	// it is retried. Before its first event the call may be queued at the engine; after it, the
+	// engine has lost the call or hangs.
+	firstEventTimeout = 1500 * time.Millisecond
+	nextEventTimeout  = 700 * time.Millisecond
 )
 
-// stallWatch abandons an attempt whose stream is silent for too long. On routes that can't be
-// resumed it does nothing: there, silence gives no reason to end an answer.
-type stallWatch struct {
-	timer *time.Timer
-	mutex sync.Mutex
-	ended bool
+// stallTimer abandons an attempt whose stream is silent for too long. It does nothing on routes
+// that can't be resumed, where a retry is not possible.
+type stallTimer struct {
+	timer   *time.Timer
+	mutex   sync.Mutex
+	stopped bool
 }
 
-func (s *stream) watchStall() *stallWatch {
-	watch := &stallWatch{}
+func (s *stream) startStallTimer() *stallTimer {
+	stall := &stallTimer{}
 	if !s.request.route.Repeatable() {
-		return watch
+		return stall
 	}
 	attempt := s.attempt
-	limit := firstEventStall
-	if s.request.sent {
-		limit = eventStall
+	timeout := firstEventTimeout
+	if s.request.headSent {
+		timeout = nextEventTimeout
 	}
-	watch.timer = time.AfterFunc(limit, func() {
-		watch.mutex.Lock()
-		defer watch.mutex.Unlock()
-		if !watch.ended {
+	stall.timer = time.AfterFunc(timeout, func() {
+		stall.mutex.Lock()
+		defer stall.mutex.Unlock()
+		if !stall.stopped {
 			attempt.Abandon()
 		}
 	})
-	return watch
+	return stall
 }
 
-// pause stops the clock while it is not the engine that is waited for.
-func (w *stallWatch) pause() {
-	if w.timer != nil {
-		w.timer.Stop()
+// pause stops the timer while the gateway is not waiting for the engine.
+func (t *stallTimer) pause() {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
-func (w *stallWatch) heard() {
-	if w.timer != nil {
-		w.timer.Reset(eventStall)
+// reset restarts the timer after received bytes.
+func (t *stallTimer) reset() {
+	if t.timer != nil {
+		t.timer.Reset(nextEventTimeout)
 	}
 }
 
-func (w *stallWatch) stop() {
-	if w.timer == nil {
+// stop ends the timer; the attempt is not abandoned after it has returned.
+func (t *stallTimer) stop() {
+	if t.timer == nil {
 		return
 	}
-	w.timer.Stop()
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.ended = true
+	t.timer.Stop()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.stopped = true
 }
--- a/internal/ingress/starting_test.go
+++ b/internal/ingress/startup_test.go
@@ -18,18 +18,19 @@
 	"github.com/mountstile/mountstile/internal/upstream"
 )
 
-// versionSource is a store that tells one version, and is heard of until it falls silent.
-type versionSource struct {
-	entry  catalog.Entry
-	silent atomic.Bool
+// fakeSource is a store with one version of the configuration; contact with it ends once
+// disconnected is set.
+type fakeSource struct {
+	entry        catalog.Entry
+	disconnected atomic.Bool
 }
 
-func (s *versionSource) Run(ctx context.Context, sink catalog.Sink) {
+func (s *fakeSource) Run(ctx context.Context, sink catalog.Sink) {
 	sink.Apply([]catalog.Entry{s.entry})
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		if !s.silent.Load() {
+		if !s.disconnected.Load() {
 			sink.Contact()
 		}
 		select {
@@ -39,8 +40,8 @@
 	}
 }
 
-// startFeed starts a node that serves a version of the configuration to gateways.
-func startFeed(t *testing.T, source *versionSource) (address string, feed *catalog.Manager) {
+// startReplicaFeed starts a node that serves the source's configuration to gateways.
+func startReplicaFeed(t *testing.T, source *fakeSource) (address string, feed *catalog.Manager) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -62,27 +63,28 @@
 
 const (
 	staleAfter = 300 * time.Millisecond
-	// farAway is how much longer it takes to the feed that is up to date.
-	farAway = 100 * time.Millisecond
+	// slowDialDelay delays connections to the feed that is up to date.
+	slowDialDelay = 100 * time.Millisecond
 )
 
-// A gateway that starts hears first of a feed which is cut off from the store, and of an up-to-date one a moment later. A request that
-// waits for its first routes must not be handled by the older ones: before its restart the machine may have had the newer.
-func TestStartingGatewayWaitsForFreshRoutes(t *testing.T) {
-	old, current := &versionSource{entry: entryOf(t, 1)}, &versionSource{entry: entryOf(t, 2)}
-	near, oldFeed := startFeed(t, old)
-	far, currentFeed := startFeed(t, current)
-	eventually(t, "the feeds know the store", func() bool {
+// A starting gateway first reaches a feed that is disconnected from the store, and a current one a
+// moment later. A waiting request must not use the older routes: before its restart the gateway may
+// have had the newer ones.
+func TestStartingGatewayWaitsForCurrentRoutes(t *testing.T) {
+	old, current := &fakeSource{entry: entryOf(t, 1)}, &fakeSource{entry: entryOf(t, 2)}
+	near, oldFeed := startReplicaFeed(t, old)
+	far, currentFeed := startReplicaFeed(t, current)
+	eventually(t, "the feeds are in contact with the store", func() bool {
 		return oldFeed.Age() < staleAfter && currentFeed.Age() < staleAfter
 	})
-	old.silent.Store(true)
+	old.disconnected.Store(true)
 	eventually(t, "one feed is stale", func() bool { return oldFeed.Age() > 2*staleAfter })
 
 	network := transport.New(transport.Options{Cluster: "test", NodeID: "gateway", Logger: events.Discard(),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			if address == far {
 				select {
-				case <-time.After(farAway):
+				case <-time.After(slowDialDelay):
 				case <-ctx.Done():
 				}
 			}
@@ -107,5 +109,5 @@
 	response, err := http.DefaultTransport.RoundTrip(request)
 	assert.NilError(t, err)
 	assert.NilError(t, response.Body.Close())
-	assert.Equal(t, response.StatusCode, http.StatusNotFound, "the route of the older version was used")
+	assert.Equal(t, response.StatusCode, http.StatusNotFound, "the older configuration was used")
 }
--- a/internal/ingress/status_test.go
+++ b/internal/ingress/status_test.go
@@ -9,8 +9,8 @@
 	"github.com/mountstile/mountstile/internal/apierr"
 )
 
-// A caller gets 503 if and only if its request was not run for a reason that may pass.
-func TestStatusTellsTheTruthAboutExecution(t *testing.T) {
+// A caller gets 503 if and only if its request was not run and may succeed later.
+func TestStatusReflectsExecution(t *testing.T) {
 	for _, c := range []struct {
 		code    apierr.Code
 		outcome apierr.Outcome
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -17,90 +17,91 @@
 )
 
 const (
-	// relayBufferBytes is read from an engine at once.
+	// relayBufferBytes is the size of the buffer for reads from an engine.
 	relayBufferBytes = 8 << 10
-	// eventGapStep names the pause between events in what is observed of engines.
+	// eventGapStep is the name of the time between events in Registry.Observe.
 	eventGapStep = "event gap"
-	// keepGrace is how long a turn's record is offered beyond the caller's deadline.
-	keepGrace = 100 * time.Millisecond
+	// storeGrace is how long storing a turn may continue after the caller's deadline.
+	storeGrace = 100 * time.Millisecond
 )
 
-// stream is an answer of events that passes through.
+// stream relays a response that consists of events.
 type stream struct {
 	request *request
 	attempt *dispatch.Attempt
-	// life decides what passes, and when the answer is complete.
-	life    *eventstream.Stream
-	flusher *http.ResponseController
-	lastAt  time.Time
-	// runs is how many engines' answers were read.
-	runs int
+	// sse decides what is forwarded and when the response is complete.
+	sse         *eventstream.Stream
+	flusher     *http.ResponseController
+	lastEventAt time.Time
+	// attemptCount is the number of responses read from engines.
+	attemptCount int
 }
 
-// relayStream passes events on as they come. The end of the answer goes out only once the turn is
-// kept.
+// relayStream forwards events as they arrive. The end of the response is sent only after the turn
+// is stored.
 func (r *request) relayStream(ctx context.Context, call *dispatch.Call) error {
 	_, versionField := r.server.options.CallerProtocol.WeightsVersion()
-	// Of a kept turn that its caller takes up again, the engine is asked for all: kept as the turn, the rest alone would be
-	// given to engines as the whole answer.
+	// If the caller resumes a kept turn, engines are asked for the whole stream. The continuation
+	// alone must not be stored: later prompts would contain it as the whole turn.
 	call.FromStart = r.route.Repeatable() && r.route.Kept() && r.caller.LastEvent != ""
-	passed := &stream{request: r, life: eventstream.New(eventstream.Options{
+	s := &stream{request: r, sse: eventstream.New(eventstream.Options{
 		Resumable: r.route.Repeatable(), KeepOutput: r.route.Kept(), LastEvent: r.caller.LastEvent, FromStart: call.FromStart,
 		VersionField: versionField,
 	})}
 	if r.route.Repeatable() {
-		call.Stream = passed
+		call.Stream = s
 	}
 	err := r.server.options.Dispatcher.Run(ctx, call, func(attempt *dispatch.Attempt) error {
-		passed.attempt = attempt
-		return passed.relay()
+		s.attempt = attempt
+		return s.relayAttempt()
 	})
-	// A turn is kept only if its stream has ended: the status alone is that of the first run, of which the rest may be missing.
-	whole := err == nil && passed.life.State() == eventstream.Complete
-	if whole && r.route.Kept() && r.status < http.StatusMultipleChoices {
-		err = passed.keep()
+	// Store the turn only if the stream is complete: the status is that of the first attempt, and
+	// the rest may be missing.
+	complete := err == nil && s.sse.State() == eventstream.Complete
+	if complete && r.route.Kept() && r.status < http.StatusMultipleChoices {
+		err = s.storeTurn()
 	} else {
-		r.settle(passed.generated())
+		r.settle(s.generatedTokens())
 	}
 	if err == nil {
-		r.endInOrder()
+		r.closeGracefully()
 	}
-	r.ended = passed.ending(ctx, err)
+	r.outcome = s.summarize(ctx, err)
 	return err
 }
 
-// relay passes on what one run brings.
-func (s *stream) relay() error {
+// relayAttempt forwards the response of one attempt.
+func (s *stream) relayAttempt() error {
 	response := s.attempt.Response()
 	s.flusher = http.NewResponseController(s.request.writer)
-	s.lastAt = s.attempt.SentAt()
-	s.runs++
-	if err := s.life.Begin(s.headOf(response)); err != nil {
-		return s.broken(err)
+	s.lastEventAt = s.attempt.SentAt()
+	s.attemptCount++
+	if err := s.sse.Begin(s.parseHead(response)); err != nil {
+		return s.interrupt(err)
 	}
 	buffer := make([]byte, relayBufferBytes)
-	stall := s.watchStall()
+	stall := s.startStallTimer()
 	defer stall.stop()
 	for {
 		read, err := response.Body.Read(buffer)
 		if read > 0 {
 			stall.pause()
-			if failure := s.pass(buffer[:read]); failure != nil {
+			if failure := s.forward(buffer[:read]); failure != nil {
 				return failure
 			}
-			stall.heard()
+			stall.reset()
 		}
 		if errors.Is(err, io.EOF) {
-			return s.end()
+			return s.finish()
 		}
 		if err != nil {
-			return s.broken(err)
+			return s.interrupt(err)
 		}
 	}
 }
 
-// headOf is what counts of an answer's head.
-func (s *stream) headOf(response *http.Response) eventstream.Head {
+// parseHead returns the parts of a response's head that eventstream needs.
+func (s *stream) parseHead(response *http.Response) eventstream.Head {
 	versionHeader, _ := s.request.server.options.CallerProtocol.WeightsVersion()
 	mediaType, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
 	head := eventstream.Head{Status: response.StatusCode, MediaType: strings.ToLower(strings.TrimSpace(mediaType))}
@@ -110,60 +111,62 @@
 	return head
 }
 
-// pass gives the stream a part of the run's body, and the caller what comes out of it.
-func (s *stream) pass(chunk []byte) error {
-	before := s.life.EventsForwarded()
-	passed, damage := s.life.Feed(chunk)
-	s.observe(s.life.EventsForwarded() - before)
-	if len(passed) > 0 {
-		if err := s.write(passed); err != nil {
+// forward feeds a part of the body to the stream and sends the result to the caller.
+func (s *stream) forward(chunk []byte) error {
+	before := s.sse.EventsForwarded()
+	output, feedErr := s.sse.Feed(chunk)
+	s.observeEvents(s.sse.EventsForwarded() - before)
+	if len(output) > 0 {
+		if err := s.write(output); err != nil {
 			return err
 		}
 	}
-	if damage != nil {
-		return s.broken(damage)
+	if feedErr != nil {
+		return s.interrupt(feedErr)
 	}
 	return nil
 }
 
-// end passes on what is left once the run's body has ended whole, if that is the end of the stream.
-func (s *stream) end() error {
-	before := s.life.EventsForwarded()
-	rest, damage := s.life.End()
-	s.observe(s.life.EventsForwarded() - before)
+// finish handles the end of a complete body: it sends the rest to the caller if the stream is
+// complete.
+func (s *stream) finish() error {
+	before := s.sse.EventsForwarded()
+	rest, endErr := s.sse.End()
+	s.observeEvents(s.sse.EventsForwarded() - before)
 	if len(rest) > 0 {
 		if err := s.write(rest); err != nil {
 			return err
 		}
 	}
-	if damage != nil {
-		return s.broken(damage)
+	if endErr != nil {
+		return s.interrupt(endErr)
 	}
-	return s.begin()
+	return s.sendHead()
 }
 
-// broken ends a run that did not bring the stream to its end. Another one may follow if it is known where it is to go on.
-func (s *stream) broken(cause error) error {
-	s.life.Interrupt()
+// interrupt ends an attempt that did not complete the stream. The error says whether another
+// attempt may follow.
+func (s *stream) interrupt(cause error) error {
+	s.sse.Interrupt()
 	var mismatch *eventstream.ErrMismatch
 	if errors.As(cause, &mismatch) {
-		return dispatch.BrokenByCaller(!s.life.CanResume(), cause)
+		return dispatch.BrokenByCaller(!s.sse.CanResume(), cause)
 	}
-	return dispatch.Broken(!s.life.CanResume(), cause)
+	return dispatch.Broken(!s.sse.CanResume(), cause)
 }
 
 // LastEvent implements dispatch.Resumable.
-func (s *stream) LastEvent() string { return s.life.LastEvent() }
+func (s *stream) LastEvent() string { return s.sse.LastEvent() }
 
 // Events implements dispatch.Resumable.
-func (s *stream) Events() int { return s.life.EventsForwarded() }
+func (s *stream) Events() int { return s.sse.EventsForwarded() }
 
 // Resumed implements dispatch.Resumable.
 func (s *stream) Resumed(resumption dispatch.Resumption) {
 	r := s.request
-	r.server.options.Metrics.resumed(resumption.Outcome)
-	if !r.server.lines.allows(true) {
-		r.server.options.Metrics.lineDropped()
+	r.server.options.Metrics.countResumption(resumption.Outcome)
+	if !r.server.logLimit.allow(true) {
+		r.server.options.Metrics.countDroppedLine()
 		return
 	}
 	r.server.options.Logger.Emit(events.StreamResumed, events.F("request", r.caller.ID), events.F("engine", resumption.Engine),
@@ -171,24 +174,25 @@
 		events.F("outcome", resumption.Outcome), events.F("error", resumption.Cause))
 }
 
-// begin sends the head before the first bytes. The caller gets nothing before the turn's tokens are reserved.
-func (s *stream) begin() error {
+// sendHead sends the head before the first bytes. The caller gets nothing before the turn's tokens
+// are reserved.
+func (s *stream) sendHead() error {
 	s.request.engine = s.attempt.Engine().ID()
-	if s.request.sent {
+	if s.request.headSent {
 		return nil
 	}
 	if err := s.request.awaitReservation(); err != nil {
 		return dispatch.Withdrawn(err)
 	}
-	s.request.endByReset()
-	s.request.writeHead(s.attempt)
+	s.request.resetOnClose()
+	s.request.setHead(s.attempt)
 	s.request.writer.WriteHeader(s.attempt.Response().StatusCode)
 	return nil
 }
 
-// write sends bytes to the caller at once, after the head.
+// write sends bytes to the caller and flushes them, after the head.
 func (s *stream) write(chunk []byte) error {
-	if err := s.begin(); err != nil {
+	if err := s.sendHead(); err != nil {
 		return err
 	}
 	if _, err := s.request.writer.Write(chunk); err != nil {
@@ -200,9 +204,9 @@
 	return nil
 }
 
-// observe learns from the time that events took.
-func (s *stream) observe(ended int) {
-	if ended == 0 {
+// observeEvents reports the time between events to the registry.
+func (s *stream) observeEvents(count int) {
+	if count == 0 {
 		return
 	}
 	now := time.Now()
@@ -210,23 +214,23 @@
 	case s.request.firstEventAt.IsZero():
 		s.request.firstEventAt = now
 	case s.request.ahead:
-		// Events that were held come all at once, which says nothing about the engine: taken for its pace, they made all
-		// engines look slow but one, to which everything went then.
+		// Events that were buffered during the reservation arrive all at once. Their gaps don't
+		// measure the engine and would make all others look slow.
 	default:
-		s.request.server.options.Registry.Observe(s.attempt.Engine(), eventGapStep, now.Sub(s.lastAt)/time.Duration(ended))
+		s.request.server.options.Registry.Observe(s.attempt.Engine(), eventGapStep, now.Sub(s.lastEventAt)/time.Duration(count))
 	}
-	s.lastAt = now
+	s.lastEventAt = now
 }
 
-// generated is how many tokens the caller may have got.
-func (s *stream) generated() int64 {
-	return int64(s.life.EventsStarted()) * int64(s.request.service.TokensPerEvent)
+// generatedTokens returns an upper bound of the tokens that the caller got.
+func (s *stream) generatedTokens() int64 {
+	return int64(s.sse.EventsStarted()) * int64(s.request.service.TokensPerEvent)
 }
 
-// keep writes the turn and its charge.
-func (s *stream) keep() error {
+// storeTurn stores the turn and charges its tokens.
+func (s *stream) storeTurn() error {
 	r := s.request
-	output := s.life.Output()
+	output := s.sse.Output()
 	text := make([]byte, 0, len(r.body)+len(output))
 	text = append(append(text, r.body...), output...)
 	records := []conversation.Record{{Turn: &conversation.Turn{
@@ -237,14 +241,14 @@
 		records = append(r.opened.Inherited(), records...)
 	}
 	if r.opened != nil && r.opened.Reserved {
-		records = append(records, r.opened.Settled(s.generated(), r.engine))
+		records = append(records, r.opened.Settled(s.generatedTokens(), r.engine))
 	}
-	deadline := r.deadline().Add(keepGrace)
-	keepContext, cancel := context.WithDeadline(r.http.Context(), deadline)
+	deadline := r.deadline().Add(storeGrace)
+	putContext, cancel := context.WithDeadline(r.incoming.Context(), deadline)
 	defer cancel()
-	if err := r.server.options.Turns.Put(keepContext, r.caller.Program, records); err != nil {
+	if err := r.server.options.Turns.Put(putContext, r.caller.Program, records); err != nil {
 		r.server.options.Logger.Emit(events.TurnNotKept, events.F("request", r.caller.ID), events.F("error", err))
-		r.settle(s.generated())
+		r.settle(s.generatedTokens())
 		return apierr.New(apierr.TurnsUnavailable, apierr.Ran, "%s", err)
 	}
 	return nil
--- a/internal/ingress/streamtype_test.go
+++ b/internal/ingress/streamtype_test.go
@@ -10,63 +10,62 @@
 	"gotest.tools/v3/assert"
 )
 
-// What the engine's type says of a stream must not decide whether its turn is kept with what it said, whether it is charged,
-// and when its events pass. A type that can't be read made it another body: the turn was kept without its output, nothing was charged,
-// and a resumable stream was held back to its end.
+// The media type of an engine's stream must not decide whether its output is stored and charged,
+// and when its events are forwarded.
 
-// streamTypes are lines of heads that a stream may come with.
+// streamTypes are header lines with which a stream may arrive.
 var streamTypes = map[string]string{
-	"no type":                "",
-	"a parameter":            "Content-Type: text/event-stream; charset=utf-8\r\n",
-	"capitals":               "Content-Type: Text/Event-Stream;Charset=UTF-8\r\n",
-	"a parameter, no value":  "Content-Type: text/event-stream; charset\r\n",
-	"two equal parameters":   "Content-Type: text/event-stream; v=1; v=1\r\n",
-	"an unquoted parameter":  "Content-Type: text/event-stream; boundary=a b\r\n",
-	"a semicolon at the end": "Content-Type: text/event-stream;\r\n",
-	"another type":           "Content-Type: text/plain\r\n",
+	"none":                          "",
+	"parameter":                     "Content-Type: text/event-stream; charset=utf-8\r\n",
+	"capital letters":               "Content-Type: Text/Event-Stream;Charset=UTF-8\r\n",
+	"parameter without value":       "Content-Type: text/event-stream; charset\r\n",
+	"duplicate parameter":           "Content-Type: text/event-stream; v=1; v=1\r\n",
+	"unquoted parameter with space": "Content-Type: text/event-stream; boundary=a b\r\n",
+	"trailing semicolon":            "Content-Type: text/event-stream;\r\n",
+	"another media type":            "Content-Type: text/plain\r\n",
 }
 
-// beginTyped begins a stream whose head has this type line.
-func (c *engineCall) beginTyped(typeLine string) {
+// beginStreamWithType begins a stream with this header line.
+func (c *engineCall) beginStreamWithType(typeLine string) {
 	c.write("HTTP/1.1 200 OK\r\nCall: %s\r\nSeal: s\r\n%sTransfer-Encoding: chunked\r\n\r\n", c.id, typeLine)
 }
 
-func TestTurnIsKeptWithItsOutputWhateverItsType(t *testing.T) {
+func TestTurnIsStoredForAnyMediaType(t *testing.T) {
 	t.Parallel()
 	for name, typeLine := range streamTypes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			s.withReplica()
+			cluster := newTestCluster(t)
+			cluster.withReplica()
 			prompts := make(chan string, 2)
-			s.engine("e", func(call *engineCall) {
+			cluster.engine("e", func(call *engineCall) {
 				prompts <- call.body
-				call.beginTyped(typeLine)
+				call.beginStreamWithType(typeLine)
 				call.chunk(firstHalf)
 				call.endStream()
 			})
-			assert.NilError(t, s.send("/kept/", "t1", "first\n").err)
-			assert.Equal(t, s.send("/kept/", "t2", "second\n", "Previous", "t1").status, http.StatusOK)
+			assert.NilError(t, cluster.send("/kept/", "t1", "first\n").err)
+			assert.Equal(t, cluster.send("/kept/", "t2", "second\n", "Previous", "t1").status, http.StatusOK)
 			assert.Equal(t, <-prompts, "first\n")
 			assert.Equal(t, <-prompts, "first\ne1\ne2\nsecond\n")
 		})
 	}
 }
 
-func TestStreamIsChargedWhateverItsType(t *testing.T) {
+func TestStreamIsChargedForAnyMediaType(t *testing.T) {
 	t.Parallel()
 	for name, typeLine := range streamTypes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			s.withReplica()
-			s.engine("e", func(call *engineCall) {
-				call.beginTyped(typeLine)
+			cluster := newTestCluster(t)
+			cluster.withReplica()
+			cluster.engine("e", func(call *engineCall) {
+				call.beginStreamWithType(typeLine)
 				call.chunk(firstHalf)
 				call.endStream()
 			})
-			turn := func(id string) answer {
-				return s.send("/stream/", id, "", "Program", "p", "Budget", "50", "Most", "27")
+			turn := func(id string) reply {
+				return cluster.send("/stream/", id, "", "Program", "p", "Budget", "50", "Most", "27")
 			}
 			served := 0
 			eventually(t, "the budget is spent", func() bool {
@@ -76,20 +75,20 @@
 				}
 				return got.status == http.StatusPaymentRequired || served > 3
 			})
-			assert.Assert(t, served <= 2, "%d streams of 18 tokens were served of a budget of 50 in turns of 27", served)
+			assert.Assert(t, served <= 2, "%d streams of 18 tokens were served from a budget of 50 with reservations of 27", served)
 		})
 	}
 }
 
-func TestEventsOfResumableStreamPassAsTheyComeWhateverItsType(t *testing.T) {
+func TestResumableEventsAreFlushedForAnyMediaType(t *testing.T) {
 	t.Parallel()
 	for name, typeLine := range streamTypes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
+			cluster := newTestCluster(t)
 			proceed := make(chan struct{})
-			s.engine("e", func(call *engineCall) {
-				call.beginTyped(typeLine)
+			cluster.engine("e", func(call *engineCall) {
+				call.beginStreamWithType(typeLine)
 				call.event(1)
 				select {
 				case <-proceed:
@@ -97,36 +96,37 @@
 				}
 				call.endStream()
 			})
-			assertPassesFirst(t, s, proceed, "id: 1\n")
+			assertFirstLineForwarded(t, cluster, proceed, "id: 1\n")
 		})
 	}
 }
 
-// A comment keeps a caller that waits from giving up, and is passed on at once like an event.
-func TestCommentsOfResumableStreamPassAsTheyCome(t *testing.T) {
+// Comments keep a waiting caller's connection alive and are forwarded at once like events.
+func TestResumableCommentsAreFlushed(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	cluster := newTestCluster(t)
 	proceed := make(chan struct{})
-	s.engine("e", func(call *engineCall) {
+	cluster.engine("e", func(call *engineCall) {
 		call.beginStream()
 		call.chunk(": wait\n\n")
 		<-proceed
 		call.event(1)
 		call.endStream()
 	})
-	assertPassesFirst(t, s, proceed, ": wait\n")
+	assertFirstLineForwarded(t, cluster, proceed, ": wait\n")
 }
 
-// assertPassesFirst checks that a resumable stream's first line comes before its engine proceeds, and lets it proceed.
-func assertPassesFirst(t *testing.T, s *site, proceed chan struct{}, line string) {
+// assertFirstLineForwarded checks that the first line of a resumable stream arrives before its
+// engine proceeds, then lets the engine proceed.
+func assertFirstLineForwarded(t *testing.T, cluster *testCluster, proceed chan struct{}, line string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), firstEventStall/2)
+	ctx, cancel := context.WithTimeout(context.Background(), firstEventTimeout/2)
 	defer cancel()
 	defer close(proceed)
-	response, err := s.begin(ctx, "/resume/", "c1", "")
-	assert.NilError(t, err, "the head is held back")
+	response, err := cluster.startRequest(ctx, "/resume/", "c1", "")
+	assert.NilError(t, err, "the head was not forwarded")
 	defer response.Body.Close()
 	got, err := bufio.NewReader(response.Body).ReadString('\n')
-	assert.NilError(t, err, "the first line is held back")
+	assert.NilError(t, err, "the first line was not forwarded")
 	assert.Equal(t, got, line)
 }
--- a/internal/ingress/versions_test.go
+++ b/internal/ingress/versions_test.go
@@ -34,58 +34,60 @@
 	return catalog.Entry{Key: catalog.Key(catalog.ConfigurationKind, "current"), Revision: version, Value: encoded}
 }
 
-// Versions come from many feeds at once, in any order and more than once: what is in force only rises, in what any request sees.
-func TestVersionInForceOnlyRises(t *testing.T) {
+// Feeds deliver versions concurrently, in any order and repeatedly. The version that requests see
+// must never decrease.
+func TestInstalledVersionOnlyIncreases(t *testing.T) {
 	const versions, feeds, readers = 60, 6, 4
-	here := newStartingSite(t)
+	cluster := newUnconfiguredCluster(t)
 	var entries []catalog.Entry
 	for version := range int64(versions) {
 		entries = append(entries, entryOf(t, version+1))
 	}
-	here.node.apply(entries[0])
+	cluster.node.apply(entries[0])
 	var applying, reading sync.WaitGroup
 	var done atomic.Bool
 	for range readers {
 		reading.Go(func() {
 			for last := int64(0); !done.Load(); {
-				now := here.node.table.Load().Version()
-				if !assert.Check(t, now >= last, "%d after %d", now, last) {
+				current := cluster.node.table.Load().Version()
+				if !assert.Check(t, current >= last, "%d after %d", current, last) {
 					return
 				}
-				last = now
+				last = current
 			}
 		})
 	}
 	for range feeds {
 		applying.Go(func() {
 			for _, index := range rand.Perm(versions) {
-				here.node.apply(entries[index])
+				cluster.node.apply(entries[index])
 			}
 		})
 	}
 	applying.Wait()
 	done.Store(true)
 	reading.Wait()
-	assert.Equal(t, here.node.table.Load().Version(), int64(versions))
+	assert.Equal(t, cluster.node.table.Load().Version(), int64(versions))
 }
 
-// An older version, whatever its revision, a removal, and one that can't be read leave what is in force, also on connections that are open.
-func TestOlderVersionDoesNotReturn(t *testing.T) {
-	here := newSite(t)
-	here.engine("e1", func(call *engineCall) { call.answer(http.StatusOK, "fine") })
-	here.node.apply(catalog.Entry{Key: entryOf(t, 7).Key, Revision: 100, Value: entryOf(t, 7).Value})
-	assert.Equal(t, here.send("/v7/x", "r1", "b").status, http.StatusOK)
+// Older versions with any revision, removals and invalid entries don't replace the installed
+// version, also on open connections.
+func TestOlderVersionIsNotInstalled(t *testing.T) {
+	cluster := newTestCluster(t)
+	cluster.engine("e1", func(call *engineCall) { call.reply(http.StatusOK, "fine") })
+	cluster.node.apply(catalog.Entry{Key: entryOf(t, 7).Key, Revision: 100, Value: entryOf(t, 7).Value})
+	assert.Equal(t, cluster.send("/v7/x", "r1", "b").status, http.StatusOK)
 	older := map[string]catalog.Entry{
 		"lower revision":  {Key: entryOf(t, 6).Key, Revision: 99, Value: entryOf(t, 6).Value},
 		"higher revision": {Key: entryOf(t, 6).Key, Revision: 101, Value: entryOf(t, 6).Value},
-		"a removal":       {Key: entryOf(t, 6).Key, Revision: 102},
-		"no JSON":         {Key: entryOf(t, 6).Key, Revision: 103, Value: json.RawMessage("{")},
+		"removal":         {Key: entryOf(t, 6).Key, Revision: 102},
+		"invalid JSON":    {Key: entryOf(t, 6).Key, Revision: 103, Value: json.RawMessage("{")},
 	}
 	for name, entry := range older {
 		t.Run(name, func(t *testing.T) {
-			here.node.apply(entry)
-			assert.Equal(t, here.send("/v7/x", "a-"+strings.ReplaceAll(name, " ", "-"), "b").status, http.StatusOK)
-			assert.Equal(t, here.send("/v6/x", "b-"+strings.ReplaceAll(name, " ", "-"), "b").status, http.StatusNotFound)
+			cluster.node.apply(entry)
+			assert.Equal(t, cluster.send("/v7/x", "a-"+strings.ReplaceAll(name, " ", "-"), "b").status, http.StatusOK)
+			assert.Equal(t, cluster.send("/v6/x", "b-"+strings.ReplaceAll(name, " ", "-"), "b").status, http.StatusNotFound)
 		})
 	}
 }
