--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// failureHalfLife is how fast failures and successes are forgotten.
+	// failureHalfLife is the half-life of the counts of failures and successes.
 	failureHalfLife = 3 * time.Second
-	// breakerFailures and breakerShare are the weight and the share of recent failures that open a
-	// breaker. Engines that lose a few answers in a hundred stay in use.
-	breakerFailures = 2.5
-	breakerShare    = 0.4
-	breakerFirst    = 500 * time.Millisecond
-	breakerLongest  = 4 * time.Second
+	// breakerMinFailures and breakerFailureRatio are the decayed count and the ratio of failures that
+	// open a breaker. An engine that fails a few percent of its calls stays in use.
+	breakerMinFailures  = 2.5
+	breakerFailureRatio = 0.4
+	breakerMinOpen      = 500 * time.Millisecond
+	breakerMaxOpen      = 4 * time.Second
 )
 
-// breaker keeps work from an engine that fails. It opens by what the traffic shows, and lets one
-// request through once its time is over.
+// breaker is a circuit breaker for one engine. It opens on the failures of regular traffic, stays open for an
+// exponentially growing time, and then lets a single probe through.
 type breaker struct {
 	failures  float64
 	successes float64
 	updatedAt time.Time
 	openUntil time.Time
 	openFor   time.Duration
-	// trial is when the one request of a breaker whose time is over was let through.
-	trial time.Time
+	// probedAt is when the probe was sent; zero if none is under way.
+	probedAt time.Time
 }
 
 func (b *breaker) decay(now time.Time) {
@@ -37,8 +37,8 @@
 	b.updatedAt = now
 }
 
-// allows reports whether a request may be sent. After the open time only one is let through until
-// its outcome is known, or failureHalfLife has passed.
+// allows reports whether a request may be sent. Once the open time is over, only one probe is allowed until
+// its outcome is recorded or failureHalfLife has passed.
 func (b *breaker) allows(now time.Time) bool {
 	if b.openFor == 0 {
 		return true
@@ -46,16 +46,16 @@
 	if now.Before(b.openUntil) {
 		return false
 	}
-	return b.trial.IsZero() || now.Sub(b.trial) > failureHalfLife
+	return b.probedAt.IsZero() || now.Sub(b.probedAt) > failureHalfLife
 }
 
 func (b *breaker) sent(now time.Time) {
 	if b.openFor > 0 {
-		b.trial = now
+		b.probedAt = now
 	}
 }
 
-// succeeded reports whether the breaker closed by it.
+// succeeded records a success and reports whether it closed the breaker.
 func (b *breaker) succeeded(now time.Time) bool {
 	b.decay(now)
 	b.successes++
@@ -64,20 +64,20 @@
 		b.failures = 0
 	}
 	b.openFor = 0
-	b.trial = time.Time{}
+	b.probedAt = time.Time{}
 	return closed
 }
 
-// failed reports whether the breaker opened by it. A severe failure opens it at once.
+// failed records a failure and reports whether it opened the breaker. A severe failure always does.
 func (b *breaker) failed(now time.Time, severe bool) bool {
 	b.decay(now)
 	b.failures++
-	tooMany := b.failures >= breakerFailures && b.failures >= breakerShare*(b.failures+b.successes)
+	tooMany := b.failures >= breakerMinFailures && b.failures >= breakerFailureRatio*(b.failures+b.successes)
 	if !severe && !tooMany && b.openFor == 0 {
 		return false
 	}
-	b.openFor = min(max(b.openFor*2, breakerFirst), breakerLongest)
+	b.openFor = min(max(b.openFor*2, breakerMinOpen), breakerMaxOpen)
 	b.openUntil = now.Add(b.openFor)
-	b.trial = time.Time{}
+	b.probedAt = time.Time{}
 	return true
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,12 +1,11 @@
-// Package dispatch brings a call to an engine: it chooses one, sends the call, and decides after a
-// failure whether it may be sent again. A call that may run only once is sent again only after
-// proof that it was not run.
+// Package dispatch runs calls on engines: it chooses an engine, sends the call, and decides after a
+// failure whether to retry. A call that may run only once is retried only if it provably did not run.
 //
 // Usage:
 //
 //	dispatcher := dispatch.New(registry, protocol, logger)
 //	err := dispatcher.Run(ctx, &dispatch.Call{...}, func(attempt *dispatch.Attempt) error {
-//		... read attempt.Response() and pass it on ...
+//		... read attempt.Response() and relay it ...
 //		return nil
 //	})
 package dispatch
@@ -27,78 +26,79 @@
 )
 
 const (
-	// maximalSends bounds how often a call is offered to engines, refusals included; of a stream, how often in a row
-	// without getting an event.
-	maximalSends = 6
-	// engineWait is how long a call waits for an engine that may take it.
-	engineWait = 60 * time.Millisecond
-	// engineWaitStep is how often it looks.
-	engineWaitStep = 10 * time.Millisecond
-	// retryAfterNoEngine tells callers when to come back if no engine could take their call.
-	retryAfterNoEngine = 250 * time.Millisecond
+	// maxSends bounds the attempts of a call, refused ones included; for a stream, the consecutive attempts
+	// without an event.
+	maxSends = 6
+	// engineWaitTimeout is how long a call waits for a usable engine.
+	engineWaitTimeout = 60 * time.Millisecond
+	// engineWaitInterval is the polling interval of that wait.
+	engineWaitInterval = 10 * time.Millisecond
+	// noEngineRetryAfter is the Retry-After for callers if no engine was available.
+	noEngineRetryAfter = 250 * time.Millisecond
 )
 
-// ResponseClass is what the head of an answer means.
+// ResponseClass is the meaning of a response's status and headers.
 type ResponseClass int
 
-// The verdicts.
+// The response classes.
 const (
-	// Answered means that the answer is the engine's and is to be passed on.
+	// Answered means that the engine ran the call; the response is relayed to the caller.
 	Answered ResponseClass = iota
-	// Refused means that the engine is full and did not run the call.
+	// Refused means that the engine is at capacity and did not run the call.
 	Refused
-	// Misdirected means that another engine has the address; it did not run the call.
+	// Misdirected means that the address belongs to another engine, which did not run the call.
 	Misdirected
-	// Invalid means that the answer does not belong to the call or is damaged.
+	// Invalid means that the response is damaged or belongs to another call.
 	Invalid
 )
 
-// Protocol is what varies between the engines of different platforms.
+// Protocol adapts a Dispatcher to the engines of one platform.
 type Protocol interface {
-	// Prepare sets the headers of an attempt. The header is a copy made for it.
-	Prepare(header http.Header, offer AttemptInfo)
-	// Classify tells what the head of an answer to the call with this ID means.
+	// Prepare sets the headers of an attempt. It may modify header, which is a copy.
+	Prepare(header http.Header, attempt AttemptInfo)
+	// Classify returns the class of a response to the call with this ID, from its status and headers.
 	Classify(response *http.Response, callID string) ResponseClass
 }
 
-// AttemptInfo describes one attempt.
+// AttemptInfo describes an attempt to a Protocol.
 type AttemptInfo struct {
 	Engine string
-	// Left is the time that the engine may take.
+	// Timeout is the time until the attempt's deadline; 0 without one.
 	Timeout  time.Duration
 	Priority int
-	// LastEvent is where a stream goes on; empty for its start, or where the caller says.
+	// LastEvent is the event ID after which a stream continues. If it is empty, the stream begins at its start, or at
+	// the position that the caller requested.
 	LastEvent string
-	// FromStart tells that a stream without LastEvent begins at its start, wherever the caller says.
+	// FromStart makes a stream without LastEvent begin at its start, whatever position the caller requested.
 	FromStart bool
 }
 
-// Call is one request of a caller.
+// Call is a caller's request.
 type Call struct {
 	ID        string
 	Route     *routing.Route
 	Placement Placement
 	Request   upstream.Request
 	Priority  int
-	// Trace is filled with what decided the call's way, for its log line.
+	// Trace is filled in by Dispatcher.Run, for the call's log line.
 	Trace Trace
-	// Stream is set for streams that may go on in another run.
+	// Stream is set for streams that another run may continue.
 	Stream Resumable
-	// FromStart tells that the first run begins at the stream's start, wherever the caller says.
+	// FromStart makes the first run begin at the stream's start, whatever position the caller requested.
 	FromStart bool
 }
 
-// Trace is what decided the way of a call.
+// Trace records the placement of a call.
 type Trace struct {
-	// Engine is the one that was asked last.
+	// Engine is the ID of the last engine.
 	Engine string
-	// Sends is how often the call was offered to engines.
+	// Sends is the number of attempts, refused ones included.
 	Sends int
-	// Held is how long it waited for an engine that may take it.
+	// EngineWait is the time spent waiting for a usable engine.
 	EngineWait time.Duration
-	// Candidates, InFlight, Busy and Pace are what the last choice of an engine saw: how many might take the
-	// call, and this node's own calls, those of all nodes and the latency ratio of the one that was chosen. LoadAge is how old
-	// the news of the other nodes' calls was.
+	// Candidates is the number of engines that the last placement could choose from. InFlight, Load and LatencyRatio
+	// belong to the chosen one: this gateway's calls in flight, the estimate for all gateways, and its latency relative to
+	// the service's average. LoadAge is the age of the other gateways' load report.
 	Candidates   int
 	InFlight     int
 	Load         float64
@@ -106,76 +106,77 @@
 	LatencyRatio float64
 }
 
-// Attempt is a call at an engine that has begun to answer.
+// Attempt is an attempt whose response has begun.
 type Attempt struct {
 	exchange *upstream.Exchange
 	engine   *Engine
 	sentAt   time.Time
 }
 
-// Response is the answer; its body is to be read.
+// Response returns the engine's response; the consumer reads its body.
 func (a *Attempt) Response() *http.Response { return a.exchange.Response() }
 
-// Engine is where the call runs.
+// Engine returns the engine that runs the call.
 func (a *Attempt) Engine() *Engine { return a.engine }
 
-// Abort closes the connection to the engine; a reader of the answer gets an error.
+// Abort closes the connection to the engine; pending reads of the response fail.
 func (a *Attempt) Abort() { a.exchange.Abort() }
 
-// SentAt is when the call was sent.
+// SentAt returns when the call was sent to the engine.
 func (a *Attempt) SentAt() time.Time { return a.sentAt }
 
-// ErrResponse is returned by a consumer if the answer ended early or was damaged. Delivered tells whether nothing may follow, for
-// the caller has got a part of it; a part of a stream that may go on in another run doesn't count.
+// ErrResponse means that the response was truncated or damaged. Consumers return it.
 type ErrResponse struct {
+	// Delivered is set if the caller already received a part of the response, so that no other one may follow. A part of a
+	// stream that another run may continue does not count.
 	Delivered bool
-	// engineWell tells that the engine is not to blame.
-	engineWell bool
-	cause      error
+	// engineHealthy is set if the failure must not count against the engine.
+	engineHealthy bool
+	cause         error
 }
 
-// Broken makes an ErrResponse.
+// ResponseError returns an ErrResponse.
 func ResponseError(delivered bool, cause error) error {
 	return errors.WithStack(&ErrResponse{Delivered: delivered, cause: cause})
 }
 
-// MismatchError makes an ErrResponse for which the engine is not to blame: its answer does not fit what the caller has. Other
-// callers' requests still go there.
+// MismatchError returns an ErrResponse for a response that does not match what the caller already has. It does not
+// count against the engine, which stays in use for other calls.
 func MismatchError(delivered bool, cause error) error {
-	return errors.WithStack(&ErrResponse{Delivered: delivered, engineWell: true, cause: cause})
+	return errors.WithStack(&ErrResponse{Delivered: delivered, engineHealthy: true, cause: cause})
 }
 
-// ErrCallerGone means that the caller no longer takes its answer.
+// ErrCallerGone means that the caller has disconnected.
 type ErrCallerGone struct{ cause error }
 
-// CallerGone makes an ErrCallerGone.
+// CallerGone returns an ErrCallerGone.
 func CallerGone(cause error) error { return errors.WithStack(&ErrCallerGone{cause: cause}) }
 
-// ErrWithdrawn means that the gateway itself no longer wants the answer.
+// ErrWithdrawn means that the gateway itself cancelled the call.
 type ErrWithdrawn struct{ cause error }
 
-// Withdrawn makes an ErrWithdrawn.
+// Withdrawn returns an ErrWithdrawn.
 func Withdrawn(cause error) error { return errors.WithStack(&ErrWithdrawn{cause: cause}) }
 
 // Error implements error.
-func (e *ErrWithdrawn) Error() string { return "the call was withdrawn: " + e.cause.Error() }
+func (e *ErrWithdrawn) Error() string { return "call cancelled by the gateway: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *ErrWithdrawn) Unwrap() error { return e.cause }
 
 // Error implements error.
-func (e *ErrCallerGone) Error() string { return "the caller is gone: " + e.cause.Error() }
+func (e *ErrCallerGone) Error() string { return "caller disconnected: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *ErrCallerGone) Unwrap() error { return e.cause }
 
 // Error implements error.
-func (e *ErrResponse) Error() string { return "the answer broke off: " + e.cause.Error() }
+func (e *ErrResponse) Error() string { return "engine response failed: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *ErrResponse) Unwrap() error { return e.cause }
 
-// Dispatcher sends calls to engines. All methods may be called concurrently.
+// Dispatcher runs calls on engines. All methods may be called concurrently.
 type Dispatcher struct {
 	registry *Registry
 	protocol Protocol
@@ -183,13 +184,13 @@
 	retries  *retryBudget
 }
 
-// New returns a Dispatcher.
+// New returns a Dispatcher that chooses among the registry's engines.
 func New(registry *Registry, protocol Protocol, logger *events.Logger) *Dispatcher {
 	return &Dispatcher{registry: registry, protocol: protocol, logger: logger, retries: newRetryBudget()}
 }
 
-// Run brings a call to an engine and gives its answer to consume. The error is an apierr.Error that
-// tells whether the call was run, or an ErrResponse that is Delivered.
+// Run runs a call on an engine and passes the response to consume, once for each attempt that gets one. The error is an
+// apierr.Error that tells whether the call ran, or a consumer's error if nothing may follow.
 func (d *Dispatcher) Run(ctx context.Context, call *Call, consume func(*Attempt) error) error {
 	d.retries.earn()
 	progress := &progress{call: call}
@@ -201,44 +202,44 @@
 		}
 		call.Trace.Sends++
 		run := newResumption(call, engine, progress.ran)
-		outcome, err := d.limitedAttempt(ctx, call, engine, progress, run, consume)
+		outcome, err := d.attemptWithTimeout(ctx, call, engine, progress, run, consume)
 		d.registry.release(engine)
-		run.end(call, outcome, err)
+		run.report(call, outcome, err)
 		if outcome == succeeded {
 			return nil
 		}
-		if !progress.mayGoOn(ctx, outcome, engine, d.retries) {
-			return progress.final(ctx, outcome, err)
+		if !progress.mayRetry(ctx, outcome, engine, d.retries) {
+			return progress.finalError(ctx, outcome, err)
 		}
 		d.logger.Emit(events.AttemptRetried, events.F("request", call.ID), events.F("engine", engine.ID()),
 			events.F("outcome", outcome.String()), events.F("error", err), events.F("sends", call.Trace.Sends))
 	}
 }
 
-// nextEngine is the engine of the attempt before if the call is to go on there, or a new one.
+// nextEngine returns the previous engine if a stream is resumed there, and chooses one otherwise.
 func (d *Dispatcher) nextEngine(ctx context.Context, call *Call, progress *progress) (*Engine, error) {
-	again := progress.again
-	if again == nil {
+	resumeOn := progress.resumeOn
+	if resumeOn == nil {
 		return d.waitForEngine(ctx, call, progress)
 	}
-	progress.again = nil
-	clock.Pause(ctx, progress.resumeWait())
-	switch d.registry.use(again) {
+	progress.resumeOn = nil
+	clock.Pause(ctx, progress.resumeDelay())
+	switch d.registry.use(resumeOn) {
 	case present:
-		return again, nil
+		return resumeOn, nil
 	case draining:
-		// It still runs, and counts as one of the engines that the call was sent to.
+		// The engine may still be running the call, so it counts towards the route's limit.
 		if call.Route.Attempts() <= 1 {
-			return nil, progress.noEngine(ctx)
+			return nil, progress.noEngineError(ctx)
 		}
 	}
-	call.Placement.Excluded[again.ID()] = true
+	call.Placement.Excluded[resumeOn.ID()] = true
 	return d.waitForEngine(ctx, call, progress)
 }
 
 func (d *Dispatcher) waitForEngine(ctx context.Context, call *Call, progress *progress) (*Engine, error) {
 	startedAt := time.Now()
-	waitUntil := startedAt.Add(engineWait)
+	waitUntil := startedAt.Add(engineWaitTimeout)
 	defer func() { call.Trace.EngineWait += time.Since(startedAt) }()
 	for {
 		now := time.Now()
@@ -246,39 +247,39 @@
 			return engine, nil
 		}
 		if expired(ctx) || now.After(waitUntil) {
-			return nil, progress.noEngine(ctx)
+			return nil, progress.noEngineError(ctx)
 		}
-		clock.Pause(ctx, engineWaitStep)
+		clock.Pause(ctx, engineWaitInterval)
 	}
 }
 
-// limitedAttempt gives up an attempt whose answer is late while another engine may still run the
-// call. Without that, an answer that an engine has lost would be waited for until the caller leaves.
-func (d *Dispatcher) limitedAttempt(ctx context.Context, call *Call, engine *Engine, progress *progress, run *Resumption, consume func(*Attempt) error) (attemptOutcome, error) {
-	limit, limited := progress.attemptLimit(ctx, time.Now())
+// attemptWithTimeout limits the time of an attempt while another engine may still run the call.
+// Otherwise a response that an engine has lost would use up the call's whole deadline.
+func (d *Dispatcher) attemptWithTimeout(ctx context.Context, call *Call, engine *Engine, progress *progress, run *Resumption, consume func(*Attempt) error) (attemptOutcome, error) {
+	timeout, limited := progress.attemptTimeout(ctx, time.Now())
 	if !limited {
 		return d.attempt(ctx, call, engine, run, consume)
 	}
-	attemptContext, cancel := context.WithTimeout(ctx, limit)
+	attemptContext, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	outcome, err := d.attempt(attemptContext, call, engine, run, consume)
 	if attemptContext.Err() != nil && ctx.Err() == nil {
-		d.registry.failed(engine, false, errLate)
+		d.registry.failed(engine, false, errAttemptTimeout)
 	}
 	return outcome, err
 }
 
-// attempt sends a call once. What it learns of a stream's run is added to run.
+// attempt sends a call once and sets the run's status.
 func (d *Dispatcher) attempt(ctx context.Context, call *Call, engine *Engine, run *Resumption, consume func(*Attempt) error) (attemptOutcome, error) {
 	request := call.Request
 	request.Header = call.Request.Header.Clone()
 	sentAt := time.Now()
-	left := time.Duration(0)
+	timeout := time.Duration(0)
 	if deadline, ok := ctx.Deadline(); ok {
-		left = deadline.Sub(sentAt)
+		timeout = deadline.Sub(sentAt)
 	}
-	offer := AttemptInfo{Engine: engine.ID(), Timeout: left, Priority: call.Priority, LastEvent: run.LastEvent, FromStart: call.FromStart}
-	d.protocol.Prepare(request.Header, offer)
+	info := AttemptInfo{Engine: engine.ID(), Timeout: timeout, Priority: call.Priority, LastEvent: run.LastEvent, FromStart: call.FromStart}
+	d.protocol.Prepare(request.Header, info)
 	exchange, err := engine.pool.Send(ctx, &request)
 	if err != nil {
 		return d.sendFailed(ctx, engine, err)
@@ -294,8 +295,8 @@
 		d.registry.markGone(engine)
 		return misdirected, errMisdirected
 	case Invalid:
-		d.registry.failed(engine, false, errSpoiled)
-		return unknown, errSpoiled
+		d.registry.failed(engine, false, errInvalid)
+		return unknown, errInvalid
 	}
 	if err := consume(&Attempt{exchange: exchange, engine: engine, sentAt: sentAt}); err != nil {
 		return d.consumeFailed(ctx, engine, err)
@@ -334,32 +335,32 @@
 }
 
 func (d *Dispatcher) consumeFailed(ctx context.Context, engine *Engine, err error) (attemptOutcome, error) {
-	var gone *ErrCallerGone
+	var callerGone *ErrCallerGone
 	var withdrawn *ErrWithdrawn
-	if errors.As(err, &gone) || errors.As(err, &withdrawn) {
+	if errors.As(err, &callerGone) || errors.As(err, &withdrawn) {
 		return delivered, err
 	}
-	var broken *ErrResponse
-	isBroken := errors.As(err, &broken)
-	if ctx.Err() == nil && !(isBroken && broken.engineWell) {
+	var failure *ErrResponse
+	isFailure := errors.As(err, &failure)
+	if ctx.Err() == nil && !(isFailure && failure.engineHealthy) {
 		d.registry.failed(engine, false, err)
 	}
-	if isBroken && !broken.Delivered {
+	if isFailure && !failure.Delivered {
 		return unknown, err
 	}
 	return delivered, err
 }
 
-// drainRefusal reads the rest of a refusal, so that the connection can serve again.
+// drainRefusal reads the body of a refusal so that the connection can be reused.
 func (d *Dispatcher) drainRefusal(exchange *upstream.Exchange) {
-	if response := exchange.Response(); response.ContentLength >= 0 && response.ContentLength <= maximalRefusalBytes {
+	if response := exchange.Response(); response.ContentLength >= 0 && response.ContentLength <= maxRefusalBytes {
 		if discardBody(response) == nil {
 			exchange.Finish()
 		}
 	}
 }
 
-// retryAfter adds when to come back to a failure of a call that was not run.
-func retryAfter(failure *apierr.Error) *apierr.Error {
-	return failure.WithRetryAfter(retryAfterNoEngine)
+// withRetryAfter sets the Retry-After of an error for a call that did not run.
+func withRetryAfter(failure *apierr.Error) *apierr.Error {
+	return failure.WithRetryAfter(noEngineRetryAfter)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -32,13 +32,13 @@
 	return registry
 }
 
-func TestCallsWithOnePromptMeetAtOneEngineOnAllNodesOfAZone(t *testing.T) {
+func TestGatewaysOfAZoneChooseTheSameEngineForAPrompt(t *testing.T) {
 	one := registryOf(t, "a", "a", "b", "a", "a", "b", "a", "a")
 	other := registryOf(t, "a", "a", "b", "a", "a", "b", "a", "a")
 	used := make(map[string]bool)
 	for index := range 40 {
-		want := Placement{Service: "s", Affinity: fmt.Sprint("program ", index)}
-		first, second := one.choose(time.Now(), want, &Trace{}), other.choose(time.Now(), want, &Trace{})
+		placement := Placement{Service: "s", Affinity: fmt.Sprint("program ", index)}
+		first, second := one.choose(time.Now(), placement, &Trace{}), other.choose(time.Now(), placement, &Trace{})
 		assert.Equal(t, first.ID(), second.ID())
 		used[first.ID()] = true
 		one.release(first)
@@ -47,28 +47,28 @@
 	assert.Assert(t, len(used) >= 5, "only %d engines are used", len(used))
 }
 
-// New prompts stay in the zone, also where there are more engines in others; a prompt that an engine of
-// another zone has follows it, from every node.
+// New prompts stay in the zone even if most engines are in others; later calls go to the engine that has the prompt
+// cached, also from gateways in other zones.
 func TestNewPromptsStayInTheZone(t *testing.T) {
 	one := registryOf(t, "a", "a", "a", "a", "b", "b", "b")
 	other := registryOf(t, "b", "a", "a", "a", "b", "b", "b")
-	near := 0
+	sameZone := 0
 	for index := range 200 {
-		want := Placement{Service: "s", Affinity: fmt.Sprint("program ", index)}
-		first := one.choose(time.Now(), want, &Trace{})
+		placement := Placement{Service: "s", Affinity: fmt.Sprint("program ", index)}
+		first := one.choose(time.Now(), placement, &Trace{})
 		one.release(first)
 		if first.Zone() == "a" {
-			near++
+			sameZone++
 		}
-		want.Preferred = first.ID()
-		followed := other.choose(time.Now(), want, &Trace{})
+		placement.Preferred = first.ID()
+		followed := other.choose(time.Now(), placement, &Trace{})
 		other.release(followed)
 		assert.Equal(t, followed.ID(), first.ID())
 	}
-	assert.Assert(t, near > 160, "%d of 200 prompts stay in the zone", near)
+	assert.Assert(t, sameZone > 160, "%d of 200 prompts stay in the zone", sameZone)
 }
 
-// openConnection leaves a free connection to an engine.
+// openConnection creates an idle connection to an engine.
 func openConnection(t *testing.T, registry *Registry, engine string) {
 	t.Helper()
 	client, server := net.Pipe()
@@ -88,8 +88,8 @@
 	exchange.Finish()
 }
 
-// A call goes to an engine to which a connection is open, unless that one is busier.
-func TestWarmConnectionsAreUsedFirst(t *testing.T) {
+// A call prefers an engine with an idle connection, unless it is busier.
+func TestIdleConnectionsArePreferred(t *testing.T) {
 	registry := registryOf(t, "a", "a", "a", "a")
 	openConnection(t, registry, "e1")
 	for range 20 {
@@ -98,15 +98,15 @@
 		registry.release(chosen)
 	}
 	registry.choose(time.Now(), Placement{Service: "s"}, &Trace{})
-	assert.Assert(t, registry.choose(time.Now(), Placement{Service: "s"}, &Trace{}).ID() != "e1", "a busy engine is used for its connection")
+	assert.Assert(t, registry.choose(time.Now(), Placement{Service: "s"}, &Trace{}).ID() != "e1", "a busier engine is chosen for its idle connection")
 }
 
-// A program rather begins at an engine to which a connection is open, unless that one has more calls in flight.
-func TestProgramsBeginOverOpenConnections(t *testing.T) {
+// A first turn prefers an engine with an idle connection, unless it has more calls in flight.
+func TestFirstTurnPrefersIdleConnections(t *testing.T) {
 	registry := twelveEngines(t)
 	openConnection(t, registry, "e1")
 	now := time.Now()
-	beganThere := func() int {
+	placedThere := func() int {
 		times := 0
 		for program := range 200 {
 			engine := registry.choose(now, Placement{Service: "s", Affinity: fmt.Sprint(program), EngineRecorded: true}, &Trace{})
@@ -117,22 +117,22 @@
 		}
 		return times
 	}
-	assert.Assert(t, beganThere() > 60, "one in twelve would begin there by chance")
+	assert.Assert(t, placedThere() > 60, "the idle connection is not preferred")
 	registry.Take(now, load.Counts{{Engine: load.KeyOf("e1"), Calls: 8}})
-	assert.Assert(t, beganThere() < 20, "programs begin at a busy engine")
+	assert.Assert(t, placedThere() < 20, "first turns are placed at a busy engine")
 }
 
-func TestFullEngineIsLeftForTheNextInTheRanking(t *testing.T) {
+func TestCallsWithOnePromptSpreadWhenTheirEngineIsLoaded(t *testing.T) {
 	registry := registryOf(t, "a", "a", "a", "a")
-	want := Placement{Service: "s", Affinity: "p"}
+	placement := Placement{Service: "s", Affinity: "p"}
 	counts := make(map[string]int)
 	for range 12 {
-		counts[registry.choose(time.Now(), want, &Trace{}).ID()]++
+		counts[registry.choose(time.Now(), placement, &Trace{}).ID()]++
 	}
-	assert.Assert(t, len(counts) > 1, "all calls stay at one engine: %v", counts)
+	assert.Assert(t, len(counts) > 1, "all calls go to one engine: %v", counts)
 }
 
-func TestEngineThatHasThePromptIsPreferred(t *testing.T) {
+func TestPreferredEngineIsChosen(t *testing.T) {
 	registry := registryOf(t, "a", "a", "b", "c")
 	for _, id := range []string{"e0", "e1", "e2"} {
 		engine := registry.choose(time.Now(), Placement{Service: "s", Affinity: "p", Preferred: id}, &Trace{})
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestCallsWithoutPromptStayInTheZoneWhileItIsNotBusy(t *testing.T) {
+func TestCallsWithoutPromptLeaveABusyZone(t *testing.T) {
 	registry := registryOf(t, "a", "a", "b", "b")
 	first := registry.choose(time.Now(), Placement{Service: "s"}, &Trace{})
 	assert.Equal(t, first.Zone(), "a")
@@ -149,10 +149,10 @@
 	assert.Equal(t, second.Zone(), "b")
 }
 
-func TestSlowEngineIsLeftAndTriedAgainLater(t *testing.T) {
+func TestSlowEngineIsAvoidedAndRetriedLater(t *testing.T) {
 	registry := registryOf(t, "a", "a", "a")
-	want := Placement{Service: "s", Affinity: "p"}
-	home := registry.choose(time.Now(), want, &Trace{})
+	placement := Placement{Service: "s", Affinity: "p"}
+	home := registry.choose(time.Now(), placement, &Trace{})
 	registry.release(home)
 	other := registry.byID["e0"]
 	if other == home {
@@ -165,12 +165,12 @@
 		registry.Observe(home, "step", 60*time.Millisecond)
 	}
 	now := time.Now()
-	assert.Equal(t, registry.choose(now, want, &Trace{}), other)
+	assert.Equal(t, registry.choose(now, placement, &Trace{}), other)
 	registry.release(other)
-	assert.Equal(t, registry.choose(now.Add(5*paceMemory), want, &Trace{}), home)
+	assert.Equal(t, registry.choose(now.Add(5*ratioDecay), placement, &Trace{}), home)
 }
 
-func TestRecordsThatGoWithAnOutageAreALastResortForAWhile(t *testing.T) {
+func TestRemovedEnginesAreAFallbackForAGracePeriod(t *testing.T) {
 	registry := registryOf(t, "a", "a")
 	registry.Apply(catalog.Entry{Key: catalog.Key(catalog.EngineKind, "e0"), Revision: 9})
 	now := time.Now()
@@ -179,7 +179,7 @@
 	assert.Equal(t, registry.Count("s"), 0)
 }
 
-func TestAddressThatPassedToAnotherEngineIsAnotherEngine(t *testing.T) {
+func TestChangedAddressReplacesTheEngine(t *testing.T) {
 	registry := registryOf(t, "a", "a")
 	before := registry.byID["e0"]
 	value, err := json.Marshal(EngineSpecification{ID: "e0", Service: "s", Address: "127.0.0.1:2", Zone: "a", Slots: 8})
@@ -191,12 +191,12 @@
 	assert.Equal(t, registry.Count("s"), 1)
 }
 
-func TestBreakerOpensByShareAndTriesOne(t *testing.T) {
+func TestBreakerOpensByFailureRatioAndProbesOnce(t *testing.T) {
 	now := time.Now()
 	var rare breaker
 	for index := range 200 {
 		if index%20 == 0 {
-			assert.Assert(t, !rare.failed(now, false), "a failure in twenty must not open it")
+			assert.Assert(t, !rare.failed(now, false), "a failure ratio of 1 in 20 opened the breaker")
 		}
 		rare.succeeded(now)
 	}
@@ -207,10 +207,10 @@
 	}
 	assert.Assert(t, opened)
 	assert.Assert(t, !often.allows(now))
-	later := now.Add(breakerLongest)
+	later := now.Add(breakerMaxOpen)
 	assert.Assert(t, often.allows(later))
 	often.sent(later)
-	assert.Assert(t, !often.allows(later), "only one call tries it")
+	assert.Assert(t, !often.allows(later), "a second probe is allowed")
 	assert.Assert(t, often.succeeded(later))
 	assert.Assert(t, often.allows(later))
 	var severe breaker
@@ -223,7 +223,7 @@
 	for budget.spend() {
 		spent++
 	}
-	assert.Equal(t, spent, int(retryBurst))
+	assert.Equal(t, spent, int(maxSavedRetries))
 	for range 8 {
 		budget.earn()
 	}
@@ -232,13 +232,13 @@
 	}
 }
 
-// A record that comes back after it went may be a late one of an engine that has left: such an engine gets
-// nothing while there is another, until its record has outlived the silence that would remove it.
-func TestRecordThatComesBackIsNotTrustedAtOnce(t *testing.T) {
+// A reappearing record may be a delayed one of an engine that left. Such an engine is only a fallback until the record
+// has outlived its expiry without heartbeats.
+func TestReappearingRecordIsNotTrustedAtOnce(t *testing.T) {
 	registry := registryOf(t, "a", "a", "a")
 	registry.Apply(catalog.Entry{Key: catalog.Key(catalog.EngineKind, "e0"), Revision: 10})
-	back := EngineSpecification{ID: "e0", Service: "s", Address: "127.0.0.1:1", Zone: "a", Slots: 8}
-	value, err := json.Marshal(back)
+	specification := EngineSpecification{ID: "e0", Service: "s", Address: "127.0.0.1:1", Zone: "a", Slots: 8}
+	value, err := json.Marshal(specification)
 	assert.NilError(t, err)
 	registry.Apply(catalog.Entry{Key: catalog.Key(catalog.EngineKind, "e0"), Revision: 11, Value: value})
 	now := time.Now()
@@ -247,12 +247,11 @@
 	}
 	only := Placement{Service: "s", Excluded: map[string]bool{"e1": true}}
 	assert.Equal(t, registry.choose(now, only, &Trace{}).ID(), "e0")
-	later := now.Add(returnTrust + time.Millisecond)
+	later := now.Add(returnedTrustDelay + time.Millisecond)
 	assert.Equal(t, registry.choose(later, Placement{Service: "s", Preferred: "e0", Affinity: "p"}, &Trace{}).ID(), "e0")
 }
 
-// An engine that said it drains stays so, whatever record of it comes later; an older record never
-// replaces a newer one.
+// A draining engine stays draining whatever record follows; an older record never replaces a newer one.
 func TestDrainingEngineStaysDraining(t *testing.T) {
 	registry := registryOf(t, "a", "a")
 	record := func(revision int64, draining bool) {
@@ -268,9 +267,9 @@
 	assert.Assert(t, registry.choose(time.Now(), Placement{Service: "s"}, &Trace{}) == nil)
 }
 
-// After an outage of the store most records go and come back, each at its time. The few engines whose
-// records stayed must not get all the work meanwhile.
-func TestEnginesWhoseRecordsStayedDoNotGetAllWork(t *testing.T) {
+// After an outage of the store most records disappear for a while. The few engines that kept theirs must not get all
+// the work.
+func TestEnginesWithRecordsDoNotGetAllWorkAfterAnOutage(t *testing.T) {
 	registry := registryOf(t, "a", "a", "a", "a", "a", "a")
 	for index := 1; index < 5; index++ {
 		key := catalog.Key(catalog.EngineKind, fmt.Sprintf("e%d", index))
@@ -283,18 +282,18 @@
 	assert.Equal(t, len(used), 5)
 }
 
-// One short sample right after the start must not make all engines look slow.
-func TestFirstSamplesMakeNoEngineSlow(t *testing.T) {
-	var usual expectation
-	assert.Equal(t, usual.ratio(time.Millisecond), 1.0)
-	for range fewSamples {
-		ratio := usual.ratio(24 * time.Millisecond)
-		assert.Assert(t, ratio < slowPace, "%f", ratio)
+// A short first sample must not make all engines look slow.
+func TestBaselineWarmup(t *testing.T) {
+	var baseline latencyBaseline
+	assert.Equal(t, baseline.ratio(time.Millisecond), 1.0)
+	for range warmupSamples {
+		ratio := baseline.ratio(24 * time.Millisecond)
+		assert.Assert(t, ratio < slowRatio, "%f", ratio)
 	}
-	assert.Assert(t, usual.ratio(100*time.Millisecond) > slowPace)
+	assert.Assert(t, baseline.ratio(100*time.Millisecond) > slowRatio)
 }
 
-// applyEngine gives an engine a record at a revision, or takes it away.
+// applyEngine creates or removes an engine's record.
 func applyEngine(t *testing.T, registry *Registry, id string, revision int64, present bool) {
 	t.Helper()
 	entry := catalog.Entry{Key: catalog.Key(catalog.EngineKind, id), Revision: revision}
@@ -306,26 +305,25 @@
 	registry.Apply(entry)
 }
 
-// An engine whose record went with an outage of the store goes on to get work for as long as the record may come back,
-// and is trusted when it does; then it is gone.
-func TestEngineWhoseRecordWentWithAnOutageIsUsed(t *testing.T) {
+// An engine whose record expired in an outage of the store is used for a grace period, and at once when the record
+// reappears.
+func TestRecordExpiredInAnOutage(t *testing.T) {
 	registry := registryOf(t, "a", "a", "a", "a")
 	registry.RecordOutage(time.Now().Add(-3 * time.Second))
 	applyEngine(t, registry, "e0", 10, false)
 	now := time.Now()
-	wanted := Placement{Service: "s", Excluded: map[string]bool{"e1": true, "e2": true}}
-	assert.Assert(t, registry.choose(now, wanted, &Trace{}) != nil, "its record may come back")
-	assert.Assert(t, registry.choose(now.Add(lapsedGrace), wanted, &Trace{}) == nil, "its record did not come back")
+	placement := Placement{Service: "s", Excluded: map[string]bool{"e1": true, "e2": true}}
+	assert.Assert(t, registry.choose(now, placement, &Trace{}) != nil, "the engine is unused within the grace period")
+	assert.Assert(t, registry.choose(now.Add(outageGrace), placement, &Trace{}) == nil, "the engine is used after the grace period")
 	applyEngine(t, registry, "e0", 11, true)
-	assert.Assert(t, registry.choose(now.Add(lapsedGrace), wanted, &Trace{}) != nil, "its record is back")
-	// A record that goes later, without an outage, says that the engine left.
+	assert.Assert(t, registry.choose(now.Add(outageGrace), placement, &Trace{}) != nil, "the engine is unused after its record reappeared")
+	// A removal without an outage means that the engine left.
 	registry.outage.until = now.Add(-time.Minute)
 	applyEngine(t, registry, "e0", 12, false)
-	assert.Assert(t, registry.choose(time.Now().Add(removedGrace+time.Millisecond), wanted, &Trace{}) == nil)
+	assert.Assert(t, registry.choose(time.Now().Add(removedGrace+time.Millisecond), placement, &Trace{}) == nil)
 }
 
-// An engine that said that it drains before the outage gets nothing after it.
-func TestDrainingEngineStaysSoThroughAnOutage(t *testing.T) {
+func TestDrainingEngineIsUnusedAfterAnOutage(t *testing.T) {
 	registry := registryOf(t, "a", "a")
 	registry.byID["e0"].specification.Draining = true
 	registry.RecordOutage(time.Now().Add(-3 * time.Second))
@@ -333,8 +331,8 @@
 	assert.Assert(t, registry.choose(time.Now(), Placement{Service: "s"}, &Trace{}) == nil)
 }
 
-// An engine that moves to another service or address is not used where it was, and an older record does not bring it back.
-func TestEngineThatMovesIsNotUsedWhereItWas(t *testing.T) {
+// An engine that moved to another service or address is not used at the old one, and an older record does not undo that.
+func TestMovedEngineIsNotUsedAtOldAddress(t *testing.T) {
 	registry := registryOf(t, "a", "a")
 	record := func(revision int64, service, address string) {
 		value, err := json.Marshal(EngineSpecification{ID: "e0", Service: service, Address: address, Zone: "a", Slots: 8})
@@ -345,6 +343,6 @@
 	assert.Equal(t, registry.Count("s"), 0)
 	assert.Equal(t, registry.Count("other"), 1)
 	record(5, "s", "127.0.0.1:1")
-	assert.Equal(t, registry.Count("s"), 0, "an older record brought it back")
+	assert.Equal(t, registry.Count("s"), 0, "an older record undid the move")
 	assert.Equal(t, registry.byID["e0"].Address(), "127.0.0.1:2")
 }
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -7,7 +7,7 @@
 	"github.com/mountstile/mountstile/internal/upstream"
 )
 
-// EngineSpecification is one engine as its record tells it.
+// EngineSpecification is an engine's record in the catalog.
 type EngineSpecification struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
@@ -18,44 +18,44 @@
 	Draining bool `json:"draining,omitempty"`
 }
 
-// Engine is what this node knows of one engine. Its fields are guarded by the Registry's mutex.
+// Engine is the state that this gateway keeps of one engine. The Registry's mutex guards its fields.
 type Engine struct {
 	specification EngineSpecification
 	loadKey       load.Key
-	// revision is that of the record which was applied last: records may be heard out of order.
+	// revision is that of the last applied record; records may arrive out of order.
 	revision int64
 	pool     *upstream.Pool
 	inFlight int
-	// removedAt is when its record went; zero while there is one. returnedAt is when it came back.
+	// removedAt is when the record was removed; zero while it exists. returnedAt is when it reappeared.
 	removedAt  time.Time
 	returnedAt time.Time
-	// drainingAt is when it said that it drains; zero before.
-	drainingAt time.Time
-	breaker    breaker
-	pace       pace
-	// fullUntil is until when it counts as full, for it said so.
+	// drainingAt is when the engine began to drain; zero before.
+	drainingAt   time.Time
+	breaker      breaker
+	latencyRatio latencyRatio
+	// fullUntil is when an engine that refused a call gets calls again.
 	fullUntil time.Time
 }
 
-// ID is the engine's own name; a restarted engine has another one.
+// ID returns the engine's identifier; a restarted engine has a new one.
 func (e *Engine) ID() string { return e.specification.ID }
 
-// Address is where the engine listens.
+// Address returns the host and port where the engine listens.
 func (e *Engine) Address() string { return e.specification.Address }
 
-// Zone is where the engine runs.
+// Zone returns the availability zone in which the engine runs.
 func (e *Engine) Zone() string { return e.specification.Zone }
 
-// outage is a time in which the store was not heard of.
+// outage is a period in which the store was unavailable.
 type outage struct{ since, until time.Time }
 
-// covers tells whether a record that went at a time may have run out for the outage alone.
+// covers reports whether a record removed at a time may have expired only because of the outage.
 func (o outage) covers(removedAt time.Time) bool {
-	return !o.until.IsZero() && removedAt.After(o.since) && removedAt.Before(o.until.Add(lapseNoticed))
+	return !o.until.IsZero() && removedAt.After(o.since) && removedAt.Before(o.until.Add(outageExpiryDelay))
 }
 
-// update takes a newer record. An engine that once said that it drains does not take that back: a
-// record without that word is a late one. One that comes back after an outage is trusted at once.
+// update applies a newer record. Draining is never taken back: a record without it is a delayed one.
+// An engine whose record reappears after an outage is trusted at once.
 func (e *Engine) update(now time.Time, specification EngineSpecification, revision int64, last outage) {
 	specification.Draining = specification.Draining || e.specification.Draining
 	if !e.specification.Draining {
@@ -69,18 +69,18 @@
 	e.removedAt = time.Time{}
 }
 
-// trusted tells whether the record has stood long enough since it came back.
+// trusted reports whether a record that reappeared has existed for long enough.
 func (e *Engine) trusted(now time.Time) bool {
-	return e.returnedAt.IsZero() || now.Sub(e.returnedAt) > returnTrust
+	return e.returnedAt.IsZero() || now.Sub(e.returnedAt) > returnedTrustDelay
 }
 
-// recorded tells whether the engine has a record, or may have lost it only to an outage of the store. Without that, a third
-// of 45 engines stood idle in a burst for 5 s after an outage of 2.5 s.
+// recorded reports whether the engine has a record, or may have lost it only to an outage of the store. Otherwise
+// engines would stay idle after an outage until their next heartbeat.
 func (e *Engine) recorded(now time.Time, last outage) bool {
-	return e.removedAt.IsZero() || (last.covers(e.removedAt) && now.Before(last.until.Add(lapsedGrace)))
+	return e.removedAt.IsZero() || (last.covers(e.removedAt) && now.Before(last.until.Add(outageGrace)))
 }
 
-// drainingSince is when an engine began to drain whose record is read now; zero if it doesn't drain.
+// drainingSince returns now for the record of a draining engine, and the zero time otherwise.
 func drainingSince(now time.Time, specification EngineSpecification) time.Time {
 	if !specification.Draining {
 		return time.Time{}
@@ -88,13 +88,13 @@
 	return now
 }
 
-// presence is whether a stream that was on an engine may be asked for there again.
+// presence tells whether a stream may be resumed at the engine that ran it.
 type presence int
 
 const (
-	// present engines are there, or have been leaving for a short while only.
+	// present engines are running, or began to leave at most a grace period ago.
 	present presence = iota
-	// draining engines said so too long ago: what reaches them now counts as sent to an engine that left.
+	// draining engines began to drain more than drainingGrace ago; a request to them counts as one to an engine that left.
 	draining
 	// absent engines have no record any more.
 	absent
@@ -110,15 +110,15 @@
 	return present
 }
 
-// usable tells whether new work may go to the engine at all.
+// usable reports whether the engine may get new work.
 func (e *Engine) usable(now time.Time, last outage) bool {
 	return e.recorded(now, last) && e.trusted(now) && !e.specification.Draining && e.breaker.allows(now) && !now.Before(e.fullUntil)
 }
 
-// lastResort tells whether an engine may be used if no other is usable, whose record has just gone, or
-// came back a short while ago. When the store comes back after an outage, the records of all engines
-// may have run out, and return with their next heartbeat.
-func (e *Engine) lastResort(now time.Time) bool {
+// usableAsFallback reports whether the engine may be used although its record was recently removed or has
+// recently reappeared. After an outage of the store, the records of all engines may have expired; they reappear
+// with the engines' next heartbeats.
+func (e *Engine) usableAsFallback(now time.Time) bool {
 	if e.specification.Draining || !e.breaker.allows(now) || now.Before(e.fullUntil) {
 		return false
 	}
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -11,145 +11,144 @@
 )
 
 const (
-	// otherZoneCost is what another zone costs against a busy engine, in requests in flight.
-	otherZoneCost = 0.4
-	// coldCost is what an engine costs to which a connection would have to be opened first.
-	coldCost = 0.5
-	// slowCost is what a slow engine costs, in requests in flight for each unit of its pace above 1.
-	slowCost = 6.0
-	// homeShare is the part of the engines at which prompts with one shared part meet while load allows; fewestHomes is
-	// how many of them there are at least.
-	homeShare   = 1.0 / 3
-	fewestHomes = 2
-	// rereadCost is what it costs to read a part of a prompt once more that is as long as what the call adds itself:
-	// while an engine reads, all that it runs stands still.
-	rereadCost = 0.08
-	// mostRereadCost bounds it, so that no engine is ever too busy to be left.
-	mostRereadCost = 1.0
-	// evenFactor and evenSlack say from how many calls on an engine counts as busier than the others: this many times
-	// the mean, and this many calls more.
-	evenFactor = 1.2
-	evenSlack  = 2.0
-	// unevenCost is what each call above that costs.
-	unevenCost = 0.1
-	// firstTurnCost is what each call at an engine costs a turn that has nothing to be read again. Up to firstTurnSpread is
-	// added by chance: what gateways know of one another is some 0.1 to 0.3 s old, and without it all of them chose
-	// the same engine in the meantime (with 57 gateways, three times the mean of turns came to one of 45 engines).
-	firstTurnCost   = 0.1
-	firstTurnSpread = 0.8
-	// coldFirstTurnCost is what an engine costs a program that begins if a connection would have to be opened first: as much
-	// as three calls in flight. Programs that began anywhere opened a fifth of all connections to engines (of 259 gateways before
-	// 102 engines, 4,700 of 22,200 in a minute).
-	coldFirstTurnCost = 0.3
+	// crossZoneCost is the cost of an engine in another zone, in requests in flight.
+	crossZoneCost = 0.4
+	// newConnectionCost is the cost of an engine to which no idle connection exists, in requests in flight.
+	newConnectionCost = 0.5
+	// slowEngineCost is the cost of a slow engine, in requests in flight for each unit of its latency ratio above 1.
+	slowEngineCost = 6.0
+	// prefixEngineShare is the share of the engines that prompts with the same prefix use while load allows;
+	// minPrefixEngines is their least number.
+	prefixEngineShare = 1.0 / 3
+	minPrefixEngines  = 2
+	// prefillCost is the cost of processing tokens again, for as many tokens as the call itself adds: a prefill
+	// stalls all other calls of the engine.
+	prefillCost = 0.08
+	// maxPrefillCost bounds it, so that a call can always move away from an overloaded engine.
+	maxPrefillCost = 1.0
+	// overloadFactor and overloadSlack define from how many calls on an engine counts as overloaded: the factor times
+	// the mean, plus the slack.
+	overloadFactor = 1.2
+	overloadSlack  = 2.0
+	// overloadCost is the cost of each call above that number.
+	overloadCost = 0.1
+	// firstTurnLoadCost is the cost of each call in flight for a program's first turn, which has no history to process
+	// again. A random cost of up to firstTurnJitter is added: the load reports of other gateways are stale, so that
+	// without it all gateways would choose the same engine between two reports.
+	firstTurnLoadCost = 0.1
+	firstTurnJitter   = 0.8
+	// firstTurnConnectionCost is the cost for a first turn of an engine to which no idle connection exists. Without it,
+	// first turns cause a large share of all new connections.
+	firstTurnConnectionCost = 0.3
 )
 
-// Placement says which engine a call would like.
+// Placement holds the constraints and preferences for choosing a call's engine.
 type Placement struct {
 	Service string
-	// Affinity is equal for calls whose prompts begin alike; empty for calls without a prompt.
+	// Affinity is equal for calls whose prompts have a common prefix; empty for calls without a prompt.
 	Affinity string
-	// Preferred is the engine that holds the prompt, if it is known.
+	// Preferred is the ID of the engine that holds the prompt, if known.
 	Preferred string
-	// EngineRecorded tells that later calls of the program will know where this one ran. Then its first one may run
-	// wherever least is to be done; otherwise all of them meet where the hash says.
+	// EngineRecorded is set if the engine that runs this call is recorded for later calls of the program. The first
+	// call may then run at the least loaded engine; otherwise all calls of the program are placed by hash.
 	EngineRecorded bool
-	// Prompt is what is known of the prompt's parts.
+	// Prompt is the structure of the prompt, as far as known.
 	Prompt Prompt
-	// Excluded engines were tried.
+	// Excluded holds the IDs of engines that must not be used, such as those already tried.
 	Excluded map[string]bool
 }
 
-// Prompt is what is known of a prompt's parts. The zero value stands for a prompt of which nothing is known.
+// Prompt is the structure of a prompt. The zero value stands for an unknown prompt.
 type Prompt struct {
-	// Shared names the first part, which prompts of other programs begin with, too.
+	// SharedPrefix identifies the first part, which prompts of other programs also begin with.
 	SharedPrefix string
-	// SharedTokens is its length, NewTokens that of the last part, which no engine has read yet, and HistoryTokens that of
-	// all between them, which only an engine has that ran the program's earlier turns.
+	// SharedTokens is the length of that part. HistoryTokens is that of the program's earlier turns, cached only by the
+	// engine that ran them, and NewTokens that of the last part, which no engine has processed.
 	SharedTokens, HistoryTokens, NewTokens int64
 }
 
-// rereadCost is what it costs to read tokens of the prompt that an engine may not have any more.
-func (p Prompt) rereadCost(tokens int64) float64 {
-	return min(rereadCost*float64(tokens)/float64(max(p.NewTokens, 1)), mostRereadCost)
+// prefillCost is the cost of processing tokens of the prompt that an engine may not have cached.
+func (p Prompt) prefillCost(tokens int64) float64 {
+	return min(prefillCost*float64(tokens)/float64(max(p.NewTokens, 1)), maxPrefillCost)
 }
 
-// choose returns the engine for a call and counts it as in flight, or nil if none may be used.
+// choose returns the engine for a call and counts the call as in flight, or returns nil if no engine may be used.
 //
-// What an engine reads of a prompt holds up all that it runs, so most of the choice is about reading little: turns
-// stay at the engine that ran the ones before, which is known or found by hashing the program, and programs whose
-// prompts begin alike meet at a third of the engines. Against that stands load: a program begins where the fewest
-// calls of all gateways are in flight, and leaves an engine that has far more of them than the others.
-// Calls without a prompt go to the engine with the least work from here, in this zone if that costs no more.
-func (r *Registry) choose(now time.Time, want Placement, trace *Trace) *Engine {
+// A prefill stalls all other calls of an engine, so the choice mostly minimizes it: the turns of a program
+// stay at the engine that ran the earlier ones, which is recorded or found by hashing the program, and programs with
+// the same prompt prefix share a subset of the engines. Load counteracts this: a program starts at an engine
+// with few calls of all gateways in flight, and leaves one that has far more of them than the others.
+// Calls without a prompt go to the engine with the fewest calls of this gateway, preferably in its zone.
+func (r *Registry) choose(now time.Time, placement Placement, trace *Trace) *Engine {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	candidates := r.candidates(now, want)
+	candidates := r.candidates(now, placement)
 	if len(candidates) == 0 {
 		return nil
 	}
-	surroundings := r.surroundingsOf(now, candidates, want)
+	stats := r.candidateStatsOf(now, candidates, placement)
 	best := candidates[0]
 	bestCost := math.Inf(1)
 	for _, candidate := range candidates {
-		if cost := r.cost(now, candidate, want, surroundings); cost < bestCost {
+		if cost := r.cost(now, candidate, placement, stats); cost < bestCost {
 			best, bestCost = candidate, cost
 		}
 	}
 	trace.Engine = best.ID()
 	trace.Candidates = len(candidates)
 	trace.InFlight = best.inFlight
-	trace.Load = r.busy(now, best)
+	trace.Load = r.callsAt(now, best)
 	trace.LoadAge, _ = r.others.Age(now)
-	trace.LatencyRatio = best.pace.at(now)
+	trace.LatencyRatio = best.latencyRatio.at(now)
 	best.inFlight++
 	best.breaker.sent(now)
 	return best
 }
 
-func (r *Registry) candidates(now time.Time, want Placement) []*Engine {
-	var usable, resort []*Engine
-	for id, known := range r.services[want.Service] {
+func (r *Registry) candidates(now time.Time, placement Placement) []*Engine {
+	var usable, fallback []*Engine
+	for id, engine := range r.services[placement.Service] {
 		switch {
-		case want.Excluded[id]:
-		case known.usable(now, r.outage):
-			usable = append(usable, known)
-		case known.lastResort(now):
-			resort = append(resort, known)
+		case placement.Excluded[id]:
+		case engine.usable(now, r.outage):
+			usable = append(usable, engine)
+		case engine.usableAsFallback(now):
+			fallback = append(fallback, engine)
 		}
 	}
-	if len(resort) > len(usable) {
-		// Records that go one by one are those of engines that leave; most at once are those of a store
-		// that was out. Then the few that stayed must not get all the work.
-		return append(usable, resort...)
+	if len(fallback) > len(usable) {
+		// Engines that leave lose their records one by one. If most records are missing, the store was
+		// unavailable, and the few engines that still have one must not get all the work.
+		return append(usable, fallback...)
 	}
 	return usable
 }
 
-// surroundings are what the cost of one candidate depends on beside itself.
-type surroundings struct {
-	// homes are the engines at which prompts with the call's shared part meet; nil if it has none.
-	homes map[*Engine]bool
-	// even is up to how many calls an engine is no busier than the others.
-	even float64
+// candidateStats are the properties of all candidates that the cost of each depends on.
+type candidateStats struct {
+	// prefixEngines are the engines for prompts with the call's shared prefix; nil if it has none.
+	prefixEngines map[*Engine]bool
+	// overloadThreshold is the number of calls above which an engine counts as overloaded.
+	overloadThreshold float64
 }
 
-func (r *Registry) surroundingsOf(now time.Time, candidates []*Engine, want Placement) surroundings {
-	if want.Affinity == "" {
-		return surroundings{}
+func (r *Registry) candidateStatsOf(now time.Time, candidates []*Engine, placement Placement) candidateStats {
+	if placement.Affinity == "" {
+		return candidateStats{}
 	}
 	sum := 0.0
 	for _, candidate := range candidates {
-		sum += r.busy(now, candidate)
+		sum += r.callsAt(now, candidate)
 	}
-	return surroundings{
-		homes: homesOf(candidates, want.Prompt.SharedPrefix),
-		even:  evenFactor*sum/float64(len(candidates)) + evenSlack,
+	return candidateStats{
+		prefixEngines:     prefixEnginesOf(candidates, placement.Prompt.SharedPrefix),
+		overloadThreshold: overloadFactor*sum/float64(len(candidates)) + overloadSlack,
 	}
 }
 
-// homesOf are the engines that rank first for a shared part of prompts, the same on all gateways.
-func homesOf(candidates []*Engine, shared string) map[*Engine]bool {
-	if shared == "" {
+// prefixEnginesOf returns the engines that rank first for a shared prefix, by rendezvous hashing; all gateways agree.
+func prefixEnginesOf(candidates []*Engine, sharedPrefix string) map[*Engine]bool {
+	if sharedPrefix == "" {
 		return nil
 	}
 	type ranked struct {
@@ -158,71 +157,71 @@
 	}
 	all := make([]ranked, 0, len(candidates))
 	for _, candidate := range candidates {
-		all = append(all, ranked{candidate, xxhash.Sum64String(shared + "\x00" + candidate.specification.ID)})
+		all = append(all, ranked{candidate, xxhash.Sum64String(sharedPrefix + "\x00" + candidate.specification.ID)})
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.hash, a.hash) })
-	count := max(int(math.Ceil(homeShare*float64(len(all)))), fewestHomes)
-	homes := make(map[*Engine]bool, count)
-	for _, home := range all[:min(count, len(all))] {
-		homes[home.engine] = true
+	count := max(int(math.Ceil(prefixEngineShare*float64(len(all)))), minPrefixEngines)
+	engines := make(map[*Engine]bool, count)
+	for _, first := range all[:min(count, len(all))] {
+		engines[first.engine] = true
 	}
-	return homes
+	return engines
 }
 
-// busy is how many calls an engine has in flight, with those of the other gateways as far as they are known.
-func (r *Registry) busy(now time.Time, engine *Engine) float64 {
+// callsAt returns the number of calls in flight at an engine: those of this gateway and the estimate for the others.
+func (r *Registry) callsAt(now time.Time, engine *Engine) float64 {
 	return float64(engine.inFlight) + r.others.Calls(now, engine.loadKey)
 }
 
-// cost weighs an engine for a call; the cheapest one gets it.
-func (r *Registry) cost(now time.Time, engine *Engine, want Placement, around surroundings) float64 {
-	distance := 0.0
+// cost returns the cost of running a call at an engine; the engine with the lowest cost is chosen.
+func (r *Registry) cost(now time.Time, engine *Engine, placement Placement, stats candidateStats) float64 {
+	zoneCost := 0.0
 	if engine.specification.Zone != r.zone {
-		distance = otherZoneCost
+		zoneCost = crossZoneCost
 	}
-	slow := 0.0
-	if current := engine.pace.at(now); current > slowPace {
-		slow = slowCost * (current - 1)
+	latencyCost := 0.0
+	if current := engine.latencyRatio.at(now); current > slowRatio {
+		latencyCost = slowEngineCost * (current - 1)
 	}
-	if want.Affinity == "" {
-		cost := float64(engine.inFlight) + distance + slow + 0.1*rand.Float64()
+	if placement.Affinity == "" {
+		cost := float64(engine.inFlight) + zoneCost + latencyCost + 0.1*rand.Float64()
 		if !engine.pool.HasIdle() {
-			cost += coldCost
+			cost += newConnectionCost
 		}
 		return cost
 	}
-	if engine.specification.ID == want.Preferred {
-		distance = 0
+	if engine.specification.ID == placement.Preferred {
+		zoneCost = 0
 	}
-	uneven := unevenCost * max(r.busy(now, engine)-around.even, 0)
-	return r.promptCost(now, engine, want, around) + distance + uneven + slow
+	loadCost := overloadCost * max(r.callsAt(now, engine)-stats.overloadThreshold, 0)
+	return r.promptCost(now, engine, placement, stats) + zoneCost + loadCost + latencyCost
 }
 
-// promptCost is what it costs to bring a prompt to an engine that may have less of it than another.
-func (r *Registry) promptCost(now time.Time, engine *Engine, want Placement, around surroundings) float64 {
-	if engine.specification.ID == want.Preferred {
+// promptCost returns the cost of processing the prompt at an engine that may have less of it cached than another.
+func (r *Registry) promptCost(now time.Time, engine *Engine, placement Placement, stats candidateStats) float64 {
+	if engine.specification.ID == placement.Preferred {
 		return 0
 	}
 	cost := 0.0
-	if around.homes != nil && !around.homes[engine] {
-		cost += want.Prompt.rereadCost(want.Prompt.SharedTokens)
+	if stats.prefixEngines != nil && !stats.prefixEngines[engine] {
+		cost += placement.Prompt.prefillCost(placement.Prompt.SharedTokens)
 	}
-	if want.Preferred == "" && want.EngineRecorded {
+	if placement.Preferred == "" && placement.EngineRecorded {
 		if !engine.pool.HasIdle() {
-			cost += coldFirstTurnCost
+			cost += firstTurnConnectionCost
 		}
-		return cost + firstTurnCost*r.busy(now, engine) + firstTurnSpread*rand.Float64()
+		return cost + firstTurnLoadCost*r.callsAt(now, engine) + firstTurnJitter*rand.Float64()
 	}
-	if want.Preferred != "" {
-		cost += want.Prompt.rereadCost(want.Prompt.HistoryTokens)
+	if placement.Preferred != "" {
+		cost += placement.Prompt.prefillCost(placement.Prompt.HistoryTokens)
 	}
-	return cost + rank(engine, want)
+	return cost + rank(engine, placement)
 }
 
-// rank is below 1, and the same on all nodes. Engines of
-// other zones are used for prompts that are new only if they rank far better, or are less busy: prompts
-// are most of the bytes between zones.
-func rank(engine *Engine, want Placement) float64 {
-	hash := xxhash.Sum64String(want.Affinity + "\x00" + engine.specification.ID)
+// rank returns a hash-based cost between 0.05 and 0.95 that is the same at all gateways. It is weighed against
+// crossZoneCost: new prompts leave the zone only for an engine that ranks far better or is less loaded, since prompts
+// are most of the traffic between zones.
+func rank(engine *Engine, placement Placement) float64 {
+	hash := xxhash.Sum64String(placement.Affinity + "\x00" + engine.specification.ID)
 	return 0.05 + 0.9*float64(hash>>11)/float64(1<<53)
 }
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -10,12 +10,12 @@
 	"github.com/mountstile/mountstile/internal/load"
 )
 
-// longShared is a prompt whose shared part is many times what a turn adds.
-func longShared(name string) Prompt {
+// longSharedPrompt returns a prompt whose shared prefix is much longer than its new part.
+func longSharedPrompt(name string) Prompt {
 	return Prompt{SharedPrefix: name, SharedTokens: 12_000, NewTokens: 1_000}
 }
 
-// engines returns twelve engines of one zone in a registry.
+// twelveEngines returns a registry with twelve engines in one zone.
 func twelveEngines(t *testing.T) *Registry {
 	zones := make([]string, 12)
 	for index := range zones {
@@ -24,52 +24,50 @@
 	return registryOf(t, "a", zones...)
 }
 
-// An engine that reads a long shared part for the first time holds up all that it runs, so programs with one
-// shared part meet at a third of the engines, and those with others elsewhere.
-func TestProgramsWithOneSharedPartMeetAtFewEngines(t *testing.T) {
+// Programs with the same long prefix use few engines, since each engine's first prefill of it stalls all its calls.
+func TestSharedPrefixUsesFewEngines(t *testing.T) {
 	registry := twelveEngines(t)
 	now := time.Now()
 	all := make(map[string]bool)
 	for part := range 8 {
 		used := make(map[string]bool)
 		for program := range 40 {
-			want := Placement{Service: "s", Affinity: fmt.Sprint(part, program), EngineRecorded: true, Prompt: longShared(fmt.Sprint("part ", part))}
-			engine := registry.choose(now, want, &Trace{})
+			placement := Placement{Service: "s", Affinity: fmt.Sprint(part, program), EngineRecorded: true, Prompt: longSharedPrompt(fmt.Sprint("part ", part))}
+			engine := registry.choose(now, placement, &Trace{})
 			registry.release(engine)
 			used[engine.ID()] = true
 			all[engine.ID()] = true
 		}
-		assert.Assert(t, len(used) <= 4, "part %d is read by %d engines", part, len(used))
-		assert.Assert(t, len(used) >= 2, "part %d has %d engines", part, len(used))
+		assert.Assert(t, len(used) <= 4, "prefix %d is processed by %d engines", part, len(used))
+		assert.Assert(t, len(used) >= 2, "prefix %d is processed by only %d engines", part, len(used))
 	}
 	assert.Assert(t, len(all) >= 10, "only %d engines are used", len(all))
 }
 
-// Short shared parts don't tie programs to few engines.
-func TestShortSharedPartsDoNotBindPrograms(t *testing.T) {
+func TestShortSharedPrefixUsesManyEngines(t *testing.T) {
 	registry := twelveEngines(t)
 	used := make(map[string]bool)
 	for program := range 60 {
-		want := Placement{Service: "s", Affinity: fmt.Sprint(program), Prompt: Prompt{SharedPrefix: "part", SharedTokens: 500, NewTokens: 1_000}}
-		engine := registry.choose(time.Now(), want, &Trace{})
+		placement := Placement{Service: "s", Affinity: fmt.Sprint(program), Prompt: Prompt{SharedPrefix: "part", SharedTokens: 500, NewTokens: 1_000}}
+		engine := registry.choose(time.Now(), placement, &Trace{})
 		registry.release(engine)
 		used[engine.ID()] = true
 	}
 	assert.Assert(t, len(used) >= 8, "only %d engines are used", len(used))
 }
 
-// A program begins where few calls are in flight, those of other gateways included.
-func TestProgramsBeginWhereOtherGatewaysHaveFewCalls(t *testing.T) {
+// The calls in flight of other gateways count for the placement of first turns until their report is stale.
+func TestFirstTurnAvoidsEnginesBusyWithOtherGateways(t *testing.T) {
 	registry := twelveEngines(t)
 	now := time.Now()
-	want := Placement{Service: "s", Affinity: "program", EngineRecorded: true, Prompt: longShared("part")}
-	idle := registry.choose(now, want, &Trace{})
+	placement := Placement{Service: "s", Affinity: "program", EngineRecorded: true, Prompt: longSharedPrompt("part")}
+	idle := registry.choose(now, placement, &Trace{})
 	registry.release(idle)
 	registry.Take(now, load.Counts{{Engine: load.KeyOf(idle.ID()), Calls: 30}})
 	chosen := func(at time.Time) int {
 		times := 0
 		for range 200 {
-			engine := registry.choose(at, want, &Trace{})
+			engine := registry.choose(at, placement, &Trace{})
 			registry.release(engine)
 			if engine == idle {
 				times++
@@ -78,52 +76,51 @@
 		return times
 	}
 	assert.Equal(t, chosen(now), 0)
-	assert.Assert(t, chosen(now.Add(10*time.Second)) > 20, "news that has grown old no longer counts")
+	assert.Assert(t, chosen(now.Add(10*time.Second)) > 20, "a stale load report still counts")
 }
 
-// Gateways that know the same, a while old, don't all choose one engine meanwhile.
-func TestProgramsThatBeginAtOnceAreSpread(t *testing.T) {
+// Gateways with the same stale load report must not all choose the same engine.
+func TestConcurrentFirstTurnsAreSpread(t *testing.T) {
 	now := time.Now()
-	news := load.Counts{{Engine: load.KeyOf("e0"), Calls: 4}, {Engine: load.KeyOf("e1"), Calls: 5}, {Engine: load.KeyOf("e2"), Calls: 6}, {Engine: load.KeyOf("e3"), Calls: 4}}
-	began := make(map[string]int)
+	report := load.Counts{{Engine: load.KeyOf("e0"), Calls: 4}, {Engine: load.KeyOf("e1"), Calls: 5}, {Engine: load.KeyOf("e2"), Calls: 6}, {Engine: load.KeyOf("e3"), Calls: 4}}
+	started := make(map[string]int)
 	for gateway := range 1000 {
 		registry := registryOf(t, "a", "a", "a", "a", "a")
-		registry.Take(now, news)
-		want := Placement{Service: "s", Affinity: fmt.Sprint(gateway), EngineRecorded: true}
-		began[registry.choose(now, want, &Trace{}).ID()]++
+		registry.Take(now, report)
+		placement := Placement{Service: "s", Affinity: fmt.Sprint(gateway), EngineRecorded: true}
+		started[registry.choose(now, placement, &Trace{}).ID()]++
 	}
-	for engine, programs := range began {
-		assert.Assert(t, programs < 450, "%d of 1000 programs began at %s", programs, engine)
+	for engine, programs := range started {
+		assert.Assert(t, programs < 450, "%d of 1000 programs started at %s", programs, engine)
 	}
 }
 
-// Turns stay at the engine that ran the ones before while it is somewhat busier than the others, for moving them means
-// to read all of their history again; they leave one that has far more calls.
-func TestTurnsStayWhereTheirHistoryIs(t *testing.T) {
+// Turns stay at a moderately loaded engine that has their history cached, and leave an overloaded one.
+func TestTurnsStayAtEngineWithHistory(t *testing.T) {
 	registry := twelveEngines(t)
 	now := time.Now()
-	prompt := longShared("part")
+	prompt := longSharedPrompt("part")
 	prompt.HistoryTokens = 9_000
-	want := Placement{Service: "s", Affinity: "program", EngineRecorded: true, Preferred: "e5", Prompt: prompt}
-	for calls, stays := range map[int]bool{0: true, 5: true, 40: false} {
+	placement := Placement{Service: "s", Affinity: "program", EngineRecorded: true, Preferred: "e5", Prompt: prompt}
+	for calls, stay := range map[int]bool{0: true, 5: true, 40: false} {
 		registry.Take(now, load.Counts{{Engine: load.KeyOf("e5"), Calls: calls}})
-		engine := registry.choose(now, want, &Trace{})
+		engine := registry.choose(now, placement, &Trace{})
 		registry.release(engine)
-		assert.Equal(t, engine.ID() == "e5", stays, "with %d calls of others", calls)
+		assert.Equal(t, engine.ID() == "e5", stay, "with %d calls of other gateways", calls)
 	}
 }
 
-// Where later turns won't know where the first one ran, all gateways must find the same engine.
-func TestProgramsThatNobodyRemembersMeetByHash(t *testing.T) {
+// If the engine is not recorded for later turns, all gateways must choose the same one.
+func TestUnrecordedProgramsArePlacedByHash(t *testing.T) {
 	one, other := twelveEngines(t), twelveEngines(t)
 	now := time.Now()
 	for program := range 20 {
-		want := Placement{Service: "s", Affinity: fmt.Sprint(program), Prompt: longShared("part")}
-		assert.Equal(t, one.choose(now, want, &Trace{}).ID(), other.choose(now, want, &Trace{}).ID())
+		placement := Placement{Service: "s", Affinity: fmt.Sprint(program), Prompt: longSharedPrompt("part")}
+		assert.Equal(t, one.choose(now, placement, &Trace{}).ID(), other.choose(now, placement, &Trace{}).ID())
 	}
 }
 
-func TestReportTellsCallsInFlight(t *testing.T) {
+func TestReportContainsCallsInFlight(t *testing.T) {
 	registry := twelveEngines(t)
 	assert.Equal(t, len(registry.Report()), 0)
 	engine := registry.choose(time.Now(), Placement{Service: "s", Preferred: "e3", Affinity: "p"}, &Trace{})
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -12,23 +12,23 @@
 	"github.com/mountstile/mountstile/internal/routing"
 )
 
-// maximalRefusalBytes bounds the body of a refusal that is read to keep its connection.
-const maximalRefusalBytes = 4 << 10
+// maxRefusalBytes bounds the body of a refusal that is read so that its connection can be reused.
+const maxRefusalBytes = 4 << 10
 
-// attemptOutcome is what is known of one attempt.
+// attemptOutcome is what is known after an attempt.
 type attemptOutcome int
 
 const (
 	succeeded attemptOutcome = iota
-	// notSent, gone, refused and misdirected prove that the call was not run. With gone, nobody
-	// listens at the engine's address any more.
+	// notSent, gone, refused and misdirected prove that the call did not run. gone also means that
+	// nothing listens at the engine's address any more.
 	notSent
 	gone
 	refused
 	misdirected
-	// unknown means that it may have run, and that another answer or, of a stream, another run may follow.
+	// unknown means that the call may have run, and that another response (or, for a stream, another run) may follow.
 	unknown
-	// delivered means that the caller has got a part of an answer that then broke off, and that nothing may follow.
+	// delivered means that the caller received a part of a response that then failed, and that nothing may follow.
 	delivered
 )
 
@@ -43,64 +43,62 @@
 func (e attemptError) Error() string { return string(e) }
 
 const (
-	errRefused     = attemptError("the engine is full")
-	errMisdirected = attemptError("another engine has the address")
-	errSpoiled     = attemptError("the answer is damaged or belongs to another call")
-	errLate        = attemptError("the answer is late")
-	errServerError = attemptError("the engine answered with a failure of its own")
+	errRefused        = attemptError("engine is at capacity")
+	errMisdirected    = attemptError("address belongs to another engine")
+	errInvalid        = attemptError("response is damaged or belongs to another call")
+	errAttemptTimeout = attemptError("no response within the attempt timeout")
+	errServerError    = attemptError("engine returned a server error")
 )
 
 const (
-	// maximalResumes bounds how often in a row a stream is asked for at the same engine without getting anything. With
-	// engines that broke off a fifth of their answers and failed two fifths of all requests, 3 of 409 broken streams were cut; with 3
-	// tries, 15 ms apart, it was 28 of 421.
-	maximalResumes = 5
-	// resumePause precedes the first of these, and doubles before each further one: 465 ms in all, below the two seconds
-	// after which callers give up a silent stream.
-	resumePause = 15 * time.Millisecond
+	// maxResumes bounds consecutive attempts to resume a stream at the same engine without receiving an event.
+	maxResumes = 5
+	// resumeBackoff is the delay before the first of these attempts; it doubles for each further one. The sum stays below
+	// the time after which callers give up a silent stream.
+	resumeBackoff = 15 * time.Millisecond
 )
 
-// progress is what was tried for a call.
+// progress tracks the attempts of one call.
 type progress struct {
 	call  *Call
 	sends int
-	// runs is how many engines may have run the call and still may.
+	// runs counts the engines that may have run the call and may still be running it.
 	runs int
-	// ran tells that some engine may have run the call.
+	// ran is set once any engine may have run the call.
 	ran bool
-	// resumed is how often a stream was asked for at the engine that it was on since it got its last event; events is how
-	// many it had then.
-	resumed int
+	// resumes counts the attempts to resume the stream at its engine since the last event; events is how many events
+	// the stream had then.
+	resumes int
 	events  int
-	// again is the engine that the next attempt must go to; nil for any.
-	again *Engine
+	// resumeOn is the engine that the next attempt must use; nil for any.
+	resumeOn *Engine
 }
 
-// shortestAttempt is the least time that an attempt gets before another engine is asked.
-const shortestAttempt = 120 * time.Millisecond
+// minAttemptTimeout is the least time that an attempt gets before another engine is tried.
+const minAttemptTimeout = 120 * time.Millisecond
 
-// attemptLimit is how long the next attempt of a call may take if another engine may run it after;
-// half of the time that is left stays for that one.
-func (p *progress) attemptLimit(ctx context.Context, now time.Time) (time.Duration, bool) {
+// attemptTimeout returns the timeout of the next attempt if another engine may run the call after it;
+// half of the remaining time is reserved for that engine.
+func (p *progress) attemptTimeout(ctx context.Context, now time.Time) (time.Duration, bool) {
 	route := p.call.Route
 	if route.Kind() != routing.Safe || p.runs+1 >= route.Attempts() {
 		return 0, false
 	}
-	limit := max(route.Objective(), shortestAttempt)
+	timeout := max(route.Objective(), minAttemptTimeout)
 	if deadline, ok := ctx.Deadline(); ok {
-		limit = min(limit, deadline.Sub(now)/2)
+		timeout = min(timeout, deadline.Sub(now)/2)
 	}
-	return limit, true
+	return timeout, true
 }
 
-// mayGoOn counts an attempt that failed and tells whether another one is allowed.
-func (p *progress) mayGoOn(ctx context.Context, outcome attemptOutcome, engine *Engine, retries *retryBudget) bool {
+// mayRetry records a failed attempt and reports whether another one is allowed.
+func (p *progress) mayRetry(ctx context.Context, outcome attemptOutcome, engine *Engine, retries *retryBudget) bool {
 	p.sends++
-	p.noteEvents()
+	p.resetOnEvents()
 	if outcome == unknown || outcome == delivered {
 		p.ran = true
 	}
-	if expired(ctx) || outcome == delivered || p.sends >= maximalSends {
+	if expired(ctx) || outcome == delivered || p.sends >= maxSends {
 		return false
 	}
 	if p.call.Stream != nil && p.ran {
@@ -116,71 +114,71 @@
 	return retries.spend()
 }
 
-// noteEvents counts anew once a run has brought events of a stream: an engine that breaks off after each event still
-// brings it to its end.
-func (p *progress) noteEvents() {
+// resetOnEvents resets the counts of attempts if the last run delivered events, so that a stream still completes on an
+// engine that interrupts it after every event.
+func (p *progress) resetOnEvents() {
 	if p.call.Stream == nil || p.call.Stream.Events() == p.events {
 		return
 	}
 	p.events = p.call.Stream.Events()
 	p.sends = 0
-	p.resumed = 0
+	p.resumes = 0
 }
 
-// resumeWait is the pause before the stream is asked for again.
-func (p *progress) resumeWait() time.Duration {
-	return resumePause << max(p.resumed-1, 0)
+// resumeDelay is the backoff before the next attempt to resume.
+func (p *progress) resumeDelay() time.Duration {
+	return resumeBackoff << max(p.resumes-1, 0)
 }
 
-// expired tells whether the time of a call is over. After a pause of the whole process the context's
-// own timer may come late.
+// expired reports whether the deadline of a call has passed. It compares the clock as well, since the context's
+// timer may fire late after the whole process was paused.
 func expired(ctx context.Context) bool {
 	deadline, limited := ctx.Deadline()
 	return ctx.Err() != nil || (limited && time.Now().After(deadline))
 }
 
-// mayResume lets a stream that broke off go on at its engine, which has the prompt in memory and is
-// no further engine to count. Only if that one has certainly ended does it go on elsewhere.
+// mayResume reports whether an interrupted stream may be resumed. It stays at its engine, which has the prompt in
+// memory and doesn't count as a further one, unless that engine's run has certainly ended.
 func (p *progress) mayResume(outcome attemptOutcome, engine *Engine) bool {
 	if outcome == gone || outcome == misdirected {
 		p.call.Placement.Excluded[engine.ID()] = true
 		return true
 	}
-	p.resumed++
-	p.again = engine
-	return p.resumed <= maximalResumes
+	p.resumes++
+	p.resumeOn = engine
+	return p.resumes <= maxResumes
 }
 
-// final is the failure that the caller gets.
-func (p *progress) final(ctx context.Context, outcome attemptOutcome, cause error) error {
+// finalError returns the error for the caller after the last attempt.
+func (p *progress) finalError(ctx context.Context, outcome attemptOutcome, cause error) error {
 	if outcome == delivered {
 		return cause
 	}
 	if p.ran {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return apierr.New(apierr.DeadlineExceeded, apierr.OutcomeUnknown, "no answer in time: %s", cause)
+			return apierr.New(apierr.DeadlineExceeded, apierr.OutcomeUnknown, "no complete response before the deadline: %s", cause)
 		}
 		return apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "%s", cause)
 	}
-	return p.notRun(ctx, cause.Error())
+	return p.notRunError(ctx, cause.Error())
 }
 
-// noEngine is the failure of a call for which there is no engine (any more).
-func (p *progress) noEngine(ctx context.Context) error {
+// noEngineError returns the error of a call for which no engine is available.
+func (p *progress) noEngineError(ctx context.Context) error {
 	if p.ran {
-		return apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "no other engine may take the call")
+		return apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "no other engine is available for the call")
 	}
-	return p.notRun(ctx, "no engine may take the call")
+	return p.notRunError(ctx, "no engine is available for the call")
 }
 
-func (p *progress) notRun(ctx context.Context, reason string) error {
+func (p *progress) notRunError(ctx context.Context, reason string) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return apierr.New(apierr.DeadlineExceeded, apierr.NotRun, "%s", reason)
 	}
-	return retryAfter(apierr.New(apierr.NoEngine, apierr.NotRun, "%s", reason))
+	return withRetryAfter(apierr.New(apierr.NoEngine, apierr.NotRun, "%s", reason))
 }
 
 func discardBody(response *http.Response) error {
-	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maximalRefusalBytes))
+	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBytes))
 	return err
 }
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -14,67 +14,67 @@
 )
 
 const (
-	// returnTrust is how long a record that came back after it went is not trusted: a late record of an
-	// engine that has left is removed for its silence within this time.
-	returnTrust = 5 * time.Second
-	// lapsedGrace is how long after an outage of the store an engine may be without a record that went with it. The
-	// platform's promise is that records of engines that live are back within 2 s; the rest is for the news to come.
-	lapsedGrace = 2200 * time.Millisecond
-	// lapseNoticed is how long after an outage records go that ran out in it. One that goes later says that its engine
-	// left.
-	lapseNoticed = 500 * time.Millisecond
-	// removedGrace is how long an engine without a record may be used when there is no other.
+	// returnedTrustDelay is how long a record that reappeared after its removal is not trusted: a delayed record of an
+	// engine that has left expires for lack of heartbeats within this time.
+	returnedTrustDelay = 5 * time.Second
+	// outageGrace is how long after an outage of the store an engine may be used whose record expired in it. The
+	// platform restores the records of running engines within 2 s; the rest allows for their propagation.
+	outageGrace = 2200 * time.Millisecond
+	// outageExpiryDelay is how long after an outage the records that expired in it may be removed. A later removal means
+	// that the engine left.
+	outageExpiryDelay = 500 * time.Millisecond
+	// removedGrace is how long an engine without a record may be used as a fallback.
 	removedGrace = 1200 * time.Millisecond
-	// drainingGrace is how long a stream may still be asked for at an engine that said that it drains. The platform allows two
-	// seconds from then on, of which the way there takes a part.
+	// drainingGrace is how long a stream may be resumed at an engine that began to drain. The platform allows two
+	// seconds from then on, which include the time in transit.
 	drainingGrace = 1200 * time.Millisecond
-	// forgottenAfter is when an engine without a record is dropped.
-	forgottenAfter = 30 * time.Second
-	// fullFor is how long an engine that said it is full gets no more work from here.
-	fullFor = 150 * time.Millisecond
-	// defaultConnections is the limit for services that name none.
+	// removedRetention is how long an engine without a record is kept.
+	removedRetention = 30 * time.Second
+	// fullBackoff is how long an engine that refused a call for lack of capacity gets no calls of this gateway.
+	fullBackoff = 150 * time.Millisecond
+	// defaultConnections is the connection limit of services without a configured one.
 	defaultConnections = 16
 )
 
-// Registry knows the engines of all services, from their records in the catalog and from the
-// traffic that they serve. All methods may be called concurrently.
+// Registry holds the engines of all services. It is fed by their records in the catalog and by the outcomes of
+// calls to them. All methods may be called concurrently.
 type Registry struct {
 	zone   string
 	dial   func(ctx context.Context, address string) (net.Conn, error)
 	logger *events.Logger
 
-	mutex        sync.Mutex
-	services     map[string]map[string]*Engine
-	byID         map[string]*Engine
-	limits       map[string]int
-	expectations map[string]*expectation
-	// outage is the last one of the store.
+	mutex     sync.Mutex
+	services  map[string]map[string]*Engine
+	byID      map[string]*Engine
+	limits    map[string]int
+	baselines map[string]*latencyBaseline
+	// outage is the store's most recent one.
 	outage outage
-	// others are the calls of other gateways.
+	// others holds the calls in flight of other gateways.
 	others *load.View
 }
 
-// NewRegistry returns a Registry for a node in zone.
+// NewRegistry returns an empty Registry for a gateway in zone.
 func NewRegistry(zone string, dial func(ctx context.Context, address string) (net.Conn, error), logger *events.Logger) *Registry {
 	return &Registry{
-		zone:         zone,
-		dial:         dial,
-		logger:       logger,
-		services:     make(map[string]map[string]*Engine),
-		byID:         make(map[string]*Engine),
-		limits:       make(map[string]int),
-		expectations: make(map[string]*expectation),
-		others:       load.NewView(),
+		zone:      zone,
+		dial:      dial,
+		logger:    logger,
+		services:  make(map[string]map[string]*Engine),
+		byID:      make(map[string]*Engine),
+		limits:    make(map[string]int),
+		baselines: make(map[string]*latencyBaseline),
+		others:    load.NewView(),
 	}
 }
 
-// Apply takes a changed engine entry of the catalog.
+// Apply updates the registry from an engine's changed catalog entry. Entries may arrive out of order.
 func (r *Registry) Apply(entry catalog.Entry) {
 	_, id := catalog.SplitKey(entry.Key)
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.forget(now)
+	r.dropRemoved(now)
 	if entry.Removed() {
 		r.remove(now, id, entry.Revision)
 		return
@@ -83,18 +83,18 @@
 	if json.Unmarshal(entry.Value, &specification) != nil || specification.ID != id {
 		return
 	}
-	known := r.byID[id]
+	engine := r.byID[id]
 	switch {
-	case known == nil:
+	case engine == nil:
 		r.add(specification, entry.Revision)
-	case known.revision >= entry.Revision:
+	case engine.revision >= entry.Revision:
 		return
-	case known.specification.Address != specification.Address || known.specification.Service != specification.Service:
-		// What is known of the engine there says nothing of it here, and the service that it left must not use it.
-		r.drop(known)
+	case engine.specification.Address != specification.Address || engine.specification.Service != specification.Service:
+		// State such as the breaker doesn't apply to the new address, and the old service must not use the engine.
+		r.drop(engine)
 		r.add(specification, entry.Revision)
 	default:
-		known.update(now, specification, entry.Revision, r.outage)
+		engine.update(now, specification, entry.Revision, r.outage)
 	}
 	r.logger.Emit(events.EngineChanged, events.F("engine", id), events.F("service", specification.Service),
 		events.F("address", specification.Address), events.F("draining", specification.Draining),
@@ -106,43 +106,43 @@
 	if limit == 0 {
 		limit = defaultConnections
 	}
-	created := &Engine{drainingAt: drainingSince(time.Now(), specification), specification: specification, loadKey: load.KeyOf(specification.ID), revision: revision, pool: upstream.NewPool(specification.Address, limit, r.dial)}
-	r.byID[specification.ID] = created
+	engine := &Engine{drainingAt: drainingSince(time.Now(), specification), specification: specification, loadKey: load.KeyOf(specification.ID), revision: revision, pool: upstream.NewPool(specification.Address, limit, r.dial)}
+	r.byID[specification.ID] = engine
 	members := r.services[specification.Service]
 	if members == nil {
 		members = make(map[string]*Engine)
 		r.services[specification.Service] = members
 	}
-	members[specification.ID] = created
+	members[specification.ID] = engine
 }
 
 func (r *Registry) remove(now time.Time, id string, revision int64) {
-	known := r.byID[id]
-	if known == nil || !known.removedAt.IsZero() || known.revision >= revision {
+	engine := r.byID[id]
+	if engine == nil || !engine.removedAt.IsZero() || engine.revision >= revision {
 		return
 	}
-	known.removedAt = now
-	known.revision = revision
+	engine.removedAt = now
+	engine.revision = revision
 	r.logger.Emit(events.EngineGone, events.F("engine", id), events.F("revision", revision))
 }
 
-func (r *Registry) forget(now time.Time) {
-	for _, known := range r.byID {
-		if known.removedAt.IsZero() || known.inFlight > 0 || now.Sub(known.removedAt) < forgottenAfter {
+func (r *Registry) dropRemoved(now time.Time) {
+	for _, engine := range r.byID {
+		if engine.removedAt.IsZero() || engine.inFlight > 0 || now.Sub(engine.removedAt) < removedRetention {
 			continue
 		}
-		r.drop(known)
+		r.drop(engine)
 	}
 }
 
-// drop forgets an engine. Calls that are under way there end as they would.
-func (r *Registry) drop(known *Engine) {
-	known.pool.Close()
-	delete(r.byID, known.ID())
-	delete(r.services[known.specification.Service], known.ID())
+// drop deletes an engine. Calls in flight are not interrupted.
+func (r *Registry) drop(engine *Engine) {
+	engine.pool.Close()
+	delete(r.byID, engine.ID())
+	delete(r.services[engine.specification.Service], engine.ID())
 }
 
-// SetConnectionLimit bounds the connections of this node to each engine of a service.
+// SetConnectionLimit sets the limit of this gateway's connections to each engine of a service.
 func (r *Registry) SetConnectionLimit(service string, limit int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -150,26 +150,26 @@
 		return
 	}
 	r.limits[service] = limit
-	for _, known := range r.services[service] {
-		known.pool.SetLimit(limit)
+	for _, engine := range r.services[service] {
+		engine.pool.SetLimit(limit)
 	}
 }
 
-// Count returns how many engines of a service have a record and do not drain.
+// Count returns the number of engines of a service that have a record and are not draining.
 func (r *Registry) Count(service string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count := 0
-	for _, known := range r.services[service] {
-		if known.removedAt.IsZero() && !known.specification.Draining {
+	for _, engine := range r.services[service] {
+		if engine.removedAt.IsZero() && !engine.specification.Draining {
 			count++
 		}
 	}
 	return count
 }
 
-// RecordOutage learns that the store was out until now. Records that went since then may have run out only because
-// engines could not renew them.
+// RecordOutage records that the store was unavailable from since until now. Records removed in that time may have
+// expired only because engines could not renew them.
 func (r *Registry) RecordOutage(since time.Time) {
 	now := time.Now()
 	r.mutex.Lock()
@@ -178,23 +178,23 @@
 	r.logger.Emit(events.StoreOutageEnded, events.F("millis", now.Sub(since).Milliseconds()))
 }
 
-// Report implements turnstore.LoadExchange: the calls of this gateway that are in flight.
+// Report implements turnstore.LoadExchange. It returns this gateway's calls in flight.
 func (r *Registry) Report() load.Counts {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var sheet load.Counts
-	for _, known := range r.byID {
-		if known.inFlight > 0 {
-			sheet = append(sheet, load.Count{Engine: known.loadKey, Calls: known.inFlight})
+	var counts load.Counts
+	for _, engine := range r.byID {
+		if engine.inFlight > 0 {
+			counts = append(counts, load.Count{Engine: engine.loadKey, Calls: engine.inFlight})
 		}
 	}
-	return sheet.Busiest()
+	return counts.Busiest()
 }
 
-// Take implements turnstore.LoadExchange.
+// Take implements turnstore.LoadExchange. It replaces the calls in flight of other gateways.
 func (r *Registry) Take(now time.Time, others load.Counts) { r.others.Take(now, others) }
 
-// use counts another attempt at an engine that a stream was on, if it may still be sent there.
+// use counts another call in flight at the engine that ran a stream, if the engine is still present.
 func (r *Registry) use(engine *Engine) presence {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -205,7 +205,7 @@
 	return found
 }
 
-// release ends a use of an engine.
+// release undoes choose or use at the end of an attempt.
 func (r *Registry) release(engine *Engine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -215,10 +215,10 @@
 func (r *Registry) markFull(engine *Engine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	engine.fullUntil = time.Now().Add(fullFor)
+	engine.fullUntil = time.Now().Add(fullBackoff)
 }
 
-// markGone keeps work from an engine that said it is another one, or that leaves.
+// markGone opens the breaker of an engine whose address now belongs to another engine.
 func (r *Registry) markGone(engine *Engine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -245,19 +245,19 @@
 	}
 }
 
-// Observe takes the time of a step (an answer of a route, a pause between events) at an engine.
+// Observe records the duration of a step at an engine: the response of a route, or the gap between two events.
 func (r *Registry) Observe(engine *Engine, step string, duration time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	usual := r.expectations[step]
-	if usual == nil {
-		usual = &expectation{}
-		r.expectations[step] = usual
+	baseline := r.baselines[step]
+	if baseline == nil {
+		baseline = &latencyBaseline{}
+		r.baselines[step] = baseline
 	}
-	engine.pace.add(time.Now(), usual.ratio(duration))
+	engine.latencyRatio.add(time.Now(), baseline.ratio(duration))
 }
 
-// Any tells whether any engine is known.
+// HasEngines reports whether any engine is known, with or without a current record.
 func (r *Registry) HasEngines() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -1,51 +1,51 @@
 package dispatch
 
-// Resumable is a stream that may go on in another run.
+// Resumable is a stream that another run can continue after one was interrupted.
 type Resumable interface {
-	// LastEvent is the ID of the last event that the caller has; empty if it has none.
+	// LastEvent returns the ID of the last event that the caller received; empty if there is none.
 	LastEvent() string
-	// Events is how many whole events the caller has.
+	// Events returns how many complete events the caller received.
 	Events() int
-	// Resumed learns how a run ended that was to go on after what the caller has.
+	// Resumed reports the result of a run that was started to continue the stream.
 	Resumed(resumption Resumption)
 }
 
-// Resumption is one run that was to go on with a stream.
+// Resumption is the result of a run that was started to continue a stream.
 type Resumption struct {
 	Engine string
-	// LastEvent is where it was to go on; empty for the start of the stream.
+	// LastEvent is the event ID to continue after; empty for the start of the stream.
 	LastEvent string
-	// Status is that of the answer's head; 0 if none came.
+	// Status is the response's status code; 0 without a response.
 	Status int
-	// Events is how many whole events it brought.
+	// Events counts the complete events of this run.
 	Events int
-	// Outcome is what is known of the run, in a word.
+	// Outcome is the attempt's outcome, such as "succeeded" or "unknown".
 	Outcome string
-	// Cause is why the run did not bring the rest of the stream; nil if it did.
+	// Cause is why the run did not complete the stream; nil if it did.
 	Cause error
-	// before is how many events the caller had when the run began.
-	before int
-	// told tells that it is a resumption, of which the stream learns.
-	told bool
+	// eventsBefore is how many events the caller had received when the run began.
+	eventsBefore int
+	// notify is set unless this is the first run of the stream.
+	notify bool
 }
 
-// newResumption begins a run of a call at an engine. The first run of a stream is none, and is told to nobody.
+// newResumption starts the record of a run. Only runs after the first one are reported to the stream.
 func newResumption(call *Call, engine *Engine, ranBefore bool) *Resumption {
 	run := &Resumption{Engine: engine.ID()}
 	if call.Stream != nil {
 		run.LastEvent = call.Stream.LastEvent()
-		run.before = call.Stream.Events()
-		run.told = ranBefore
+		run.eventsBefore = call.Stream.Events()
+		run.notify = ranBefore
 	}
 	return run
 }
 
-// end tells the stream how the run ended.
-func (r *Resumption) end(call *Call, outcome attemptOutcome, cause error) {
-	if !r.told {
+// report passes the result of the run to the stream.
+func (r *Resumption) report(call *Call, outcome attemptOutcome, cause error) {
+	if !r.notify {
 		return
 	}
-	r.Events = call.Stream.Events() - r.before
+	r.Events = call.Stream.Events() - r.eventsBefore
 	r.Outcome = outcome.String()
 	r.Cause = cause
 	call.Stream.Resumed(*r)
--- a/internal/dispatch/resume_test.go
+++ b/internal/dispatch/resume_test.go
@@ -13,21 +13,21 @@
 	"github.com/mountstile/mountstile/internal/routing"
 )
 
-// A stream that broke off is asked for at its engine, but not once that one has left for so long that nothing may go there.
-func TestStreamIsNotAskedForAtAnEngineThatLeft(t *testing.T) {
+// An interrupted stream must not be resumed at an engine whose record was removed longer ago than the grace period.
+func TestStreamIsNotResumedAtRemovedEngine(t *testing.T) {
 	registry := registryOf(t, "a", "a")
-	left := registry.byID["e0"]
+	removed := registry.byID["e0"]
 	applyEngine(t, registry, "e0", 10, false)
-	left.removedAt = time.Now().Add(-10 * time.Second)
+	removed.removedAt = time.Now().Add(-10 * time.Second)
 	dispatcher := New(registry, nil, events.Discard())
 	call := &Call{Placement: Placement{Service: "s", Excluded: make(map[string]bool)}}
-	next, err := dispatcher.nextEngine(context.Background(), call, &progress{call: call, ran: true, resumed: 1, again: left})
-	assert.Assert(t, err != nil && next == nil, "the engine that left is asked again")
+	next, err := dispatcher.nextEngine(context.Background(), call, &progress{call: call, ran: true, resumes: 1, resumeOn: removed})
+	assert.Assert(t, err != nil && next == nil, "the stream is resumed at the removed engine")
 }
 
-// An engine that said that it drains still gets the rest of its streams for a short while. After that the stream goes elsewhere
-// if its route lets more engines run it, and is cut otherwise.
-func TestStreamAtADrainingEngine(t *testing.T) {
+// A stream is resumed at its draining engine within the grace period. After that it moves to another engine if its route
+// allows more attempts, and fails otherwise.
+func TestStreamAtDrainingEngine(t *testing.T) {
 	for _, row := range []struct {
 		since    time.Duration
 		attempts int
@@ -44,8 +44,8 @@
 		registry.Apply(catalog.Entry{Key: catalog.Key(catalog.EngineKind, "e0"), Revision: 10, Value: record})
 		draining := registry.byID["e0"]
 		draining.drainingAt = draining.drainingAt.Add(-row.since)
-		call := &Call{Route: routeOf(t, row.attempts), Placement: Placement{Service: "s", Excluded: make(map[string]bool)}}
-		next, err := New(registry, nil, events.Discard()).nextEngine(context.Background(), call, &progress{call: call, ran: true, resumed: 1, again: draining})
+		call := &Call{Route: resumableRoute(t, row.attempts), Placement: Placement{Service: "s", Excluded: make(map[string]bool)}}
+		next, err := New(registry, nil, events.Discard()).nextEngine(context.Background(), call, &progress{call: call, ran: true, resumes: 1, resumeOn: draining})
 		assert.Equal(t, err == nil, row.next != "", "%+v: %v", row, err)
 		if err == nil {
 			assert.Equal(t, next.ID(), row.next, "%+v", row)
@@ -53,8 +53,8 @@
 	}
 }
 
-// routeOf is a resumable stream's route.
-func routeOf(t *testing.T, attempts int) *routing.Route {
+// resumableRoute returns the route of a resumable stream.
+func resumableRoute(t *testing.T, attempts int) *routing.Route {
 	t.Helper()
 	table, err := routing.New(routing.Specification{
 		Version:  1,
--- a/internal/dispatch/retrybudget.go
+++ b/internal/dispatch/retrybudget.go
@@ -3,31 +3,31 @@
 import "sync"
 
 const (
-	// retryShare is how many retries each call earns; retryBurst is how many may be saved up.
-	retryShare = 0.25
-	retryBurst = 20.0
+	// retriesPerCall is the fraction of a retry that each call earns; maxSavedRetries caps the balance.
+	retriesPerCall  = 0.25
+	maxSavedRetries = 20.0
 )
 
-// retryBudget keeps retries from multiplying the load when most calls fail.
+// retryBudget limits retries to a fraction of the calls, so that they don't multiply the load when most calls fail.
 type retryBudget struct {
-	mutex sync.Mutex
-	saved float64
+	mutex   sync.Mutex
+	balance float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{saved: retryBurst} }
+func newRetryBudget() *retryBudget { return &retryBudget{balance: maxSavedRetries} }
 
 func (b *retryBudget) earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.saved = min(b.saved+retryShare, retryBurst)
+	b.balance = min(b.balance+retriesPerCall, maxSavedRetries)
 }
 
 func (b *retryBudget) spend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.saved < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
