--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,40 +12,40 @@
 
 const readBufferBytes = 4 << 10
 
-// Connection is one connection to an engine. It carries one exchange at a time. After any doubt
-// about what its next bytes belong to, it is closed and never used again.
+// Connection is a connection to an engine. It carries one exchange at a time, and is closed if its
+// next bytes may not belong to the next exchange.
 type Connection struct {
 	raw    net.Conn
 	reader *bufio.Reader
-	// sentBytes tells whether anything of the present request may have reached the engine.
-	sentBytes atomic.Int64
-	// idleUntil is when the engine may close the connection; zero if it didn't say.
-	idleUntil time.Time
-	usedAt    time.Time
+	// writes counts the writes of the current request; 0 proves that nothing of it reached the engine.
+	writes atomic.Int64
+	// idleDeadline is when an idle connection is no longer used; zero if the engine sent no timeout.
+	idleDeadline time.Time
+	lastUsedAt   time.Time
 }
 
 func newConnection(raw net.Conn) *Connection {
-	return &Connection{raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), usedAt: time.Now()}
+	return &Connection{raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), lastUsedAt: time.Now()}
 }
 
-// Write implements io.Writer and counts what may have left.
+// Write implements io.Writer. It counts the write before it, since a part may be sent even if the write fails.
 func (c *Connection) Write(data []byte) (int, error) {
-	c.sentBytes.Add(1)
+	c.writes.Add(1)
 	return c.raw.Write(data)
 }
 
 func (c *Connection) close() { _ = c.raw.Close() }
 
-// quiet tells whether an idle connection is still open and has no bytes waiting. Bytes on an idle
-// connection belong to no request.
-func (c *Connection) quiet() bool {
+// clean reports whether an idle connection is still open and has no unread data. Such data would be taken
+// for the response to the next request.
+func (c *Connection) clean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	return stillOpen(c.raw)
+	return openWithoutData(c.raw)
 }
 
-// Exchange is one request that was sent and its answer.
+// Exchange is a request and its response.
 type Exchange struct {
 	pool       *Pool
 	connection *Connection
@@ -55,11 +55,11 @@
 	finished   bool
 }
 
-// Response is the head of the answer, and its body.
+// Response returns the response; its body is read from the connection.
 func (e *Exchange) Response() *http.Response { return e.response }
 
-// Finish ends an exchange whose body was read to its end; the connection may serve again if
-// nothing speaks against it.
+// Finish ends an exchange whose body was read to its end. The connection returns to the pool if it is
+// reusable, and is closed otherwise.
 func (e *Exchange) Finish() {
 	if e.finished {
 		return
@@ -67,14 +67,15 @@
 	e.finished = true
 	if !e.stopWatch() || !e.reusable() {
 		e.connection.close()
-		e.pool.discard(e.connection)
+		e.pool.connectionClosed(e.connection)
 		return
 	}
-	e.connection.noteKeepAlive(e.response)
+	e.connection.updateIdleDeadline(e.response)
 	e.pool.put(e.connection)
 }
 
-// reusable waits a little for the rest of the request to leave, for an engine may answer early.
+// reusable reports whether the connection can carry another request. An engine may respond before it has read the
+// request, so it waits briefly for the rest to be written.
 func (e *Exchange) reusable() bool {
 	if e.response.Close || e.connection.reader.Buffered() > 0 {
 		return false
@@ -82,12 +83,13 @@
 	select {
 	case err := <-e.written:
 		return err == nil
-	case <-time.After(lateWriteWait):
+	case <-time.After(writeDrainTimeout):
 		return false
 	}
 }
 
-// Abort ends an exchange at once and closes its connection, which tells the engine to stop.
+// Abort ends an exchange and closes its connection, so that the engine cancels the request. It does nothing
+// after Finish.
 func (e *Exchange) Abort() {
 	if e.finished {
 		return
@@ -95,11 +97,11 @@
 	e.finished = true
 	e.stopWatch()
 	e.connection.close()
-	e.pool.discard(e.connection)
+	e.pool.connectionClosed(e.connection)
 }
 
-// watch closes the connection when the context ends, so that reads and writes end as well.
-func watch(ctx context.Context, connection *Connection) func() bool {
+// closeOnDone closes the connection when the context is done, which unblocks reads and writes.
+func closeOnDone(ctx context.Context, connection *Connection) func() bool {
 	return context.AfterFunc(ctx, connection.close)
 }
 
--- a/internal/upstream/keepalive.go
+++ b/internal/upstream/keepalive.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// keepAliveMargin is how long before the engine's time an idle connection is no longer used: a
-// request on the way must not meet the close.
+// keepAliveMargin is subtracted from the engine's keep-alive timeout, so that the engine does not close the
+// connection while a request is in transit.
 const keepAliveMargin = 500 * time.Millisecond
 
-func (c *Connection) noteKeepAlive(response *http.Response) {
-	c.usedAt = time.Now()
-	c.idleUntil = time.Time{}
+// updateIdleDeadline applies the timeout parameter of the Keep-Alive header.
+func (c *Connection) updateIdleDeadline(response *http.Response) {
+	c.lastUsedAt = time.Now()
+	c.idleDeadline = time.Time{}
 	for _, part := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -21,14 +22,14 @@
 		}
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err == nil {
-			c.idleUntil = c.usedAt.Add(time.Duration(seconds*float64(time.Second)) - keepAliveMargin)
+			c.idleDeadline = c.lastUsedAt.Add(time.Duration(seconds*float64(time.Second)) - keepAliveMargin)
 		}
 	}
 }
 
 func (c *Connection) expired(now time.Time) bool {
-	if !c.idleUntil.IsZero() {
-		return now.After(c.idleUntil)
+	if !c.idleDeadline.IsZero() {
+		return now.After(c.idleDeadline)
 	}
-	return now.Sub(c.usedAt) > idleLimit
+	return now.Sub(c.lastUsedAt) > defaultIdleTimeout
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,6 @@
-// Package upstream keeps connections to engines and carries requests over them, one at a time on
-// each. It is not net/http's transport, for that one may send a request again by itself, adds
-// headers, and takes what arrives next for the answer. Here a request is written once, byte for
-// byte, and the caller learns whether any of it may have reached the engine.
+// Package upstream is an HTTP/1.1 client with connection pools for engines. Unlike net/http's Transport, it
+// never retries a request by itself, adds no headers, and does not reuse a connection with unexpected data.
+// An error tells whether any part of the request may have reached the engine.
 //
 // Usage:
 //
@@ -9,7 +8,7 @@
 //	exchange, err := pool.Send(ctx, request)
 //	if err != nil { ... var failed *upstream.ErrExchange; errors.As(err, &failed); failed.Sent ... }
 //	... read exchange.Response().Body ...
-//	exchange.Finish()   // or Abort, if it was not read to its end
+//	exchange.Finish()   // or Abort if the body was not read to its end
 package upstream
 
 import (
@@ -22,15 +21,15 @@
 )
 
 const (
-	// idleLimit is how long a connection of an engine that names no time is kept.
-	idleLimit = 4 * time.Second
-	// lateWriteWait is how long the rest of a request may take to leave after an early answer.
-	lateWriteWait = 50 * time.Millisecond
+	// defaultIdleTimeout is the idle timeout of connections whose engine sends no keep-alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// writeDrainTimeout is how long Finish waits for the rest of a request to be written after an early response.
+	writeDrainTimeout = 50 * time.Millisecond
 )
 
-// ErrExchange means that no head of an answer came.
+// ErrExchange means that no response was received.
 type ErrExchange struct {
-	// Sent tells whether the engine may have got the request.
+	// Sent is set if the engine may have received the request or a part of it.
 	Sent  bool
 	cause error
 }
@@ -38,27 +37,27 @@
 // Error implements error.
 func (e *ErrExchange) Error() string {
 	if e.Sent {
-		return "the engine may have got the request: " + e.cause.Error()
+		return "no response to a request that the engine may have received: " + e.cause.Error()
 	}
-	return "the request was not sent: " + e.cause.Error()
+	return "request was not sent: " + e.cause.Error()
 }
 
 // Unwrap returns the cause.
 func (e *ErrExchange) Unwrap() error { return e.cause }
 
-// ErrConnectionLimit means that all connections that this node may have to the engine are in use.
+// ErrConnectionLimit means that the pool has reached its limit and no connection is idle.
 type ErrConnectionLimit struct{ Limit int }
 
 // Error implements error.
-func (*ErrConnectionLimit) Error() string { return "all connections to the engine are in use" }
+func (*ErrConnectionLimit) Error() string { return "connection limit for the engine reached" }
 
-// ErrProtocolSwitched means that an engine switched protocols on the connection.
+// ErrProtocolSwitched means that the engine responded with 101 Switching Protocols.
 type ErrProtocolSwitched struct{}
 
 // Error implements error.
-func (*ErrProtocolSwitched) Error() string { return "the engine switched protocols" }
+func (*ErrProtocolSwitched) Error() string { return "engine switched protocols" }
 
-// Pool holds the connections to one engine. All methods may be called concurrently.
+// Pool is a pool of connections to one engine. All methods may be called concurrently.
 type Pool struct {
 	address string
 	dial    func(ctx context.Context, address string) (net.Conn, error)
@@ -71,33 +70,33 @@
 	closed bool
 }
 
-// NewPool returns a Pool that opens at most limit connections.
+// NewPool returns a Pool of at most limit connections, and at least one.
 func NewPool(address string, limit int, dial func(ctx context.Context, address string) (net.Conn, error)) *Pool {
 	return &Pool{address: address, limit: max(limit, 1), dial: dial}
 }
 
-// Opened is how many connections were opened so far.
+// Opened returns the number of connections opened since the pool was created.
 func (p *Pool) Opened() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.opened
 }
 
-// Idle tells whether a connection is open and free, and the engine will not close it by the time of a request.
+// HasIdle reports whether the connection that the next request would use is open, idle and not expired.
 func (p *Pool) HasIdle() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle) > 0 && !p.idle[len(p.idle)-1].expired(time.Now())
 }
 
-// SetLimit changes how many connections may be open; those over it end when they are free.
+// SetLimit changes the limit. Surplus connections are closed when their exchange ends.
 func (p *Pool) SetLimit(limit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.limit = max(limit, 1)
 }
 
-// Close closes idle connections; those in use end with their exchange.
+// Close closes idle connections; others are closed when their exchange ends.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -109,7 +108,7 @@
 	p.idle = nil
 }
 
-// get returns the connection that was used last, or opens one.
+// get returns the most recently used idle connection, or opens one.
 func (p *Pool) get(ctx context.Context) (*Connection, error) {
 	if connection := p.takeIdle(); connection != nil {
 		return connection, nil
@@ -125,7 +124,7 @@
 	p.mutex.Unlock()
 	raw, err := p.dial(ctx, p.address)
 	if err != nil {
-		p.discard(nil)
+		p.connectionClosed(nil)
 		return nil, err
 	}
 	return newConnection(raw), nil
@@ -143,11 +142,11 @@
 		connection := p.idle[last]
 		p.idle = p.idle[:last]
 		p.mutex.Unlock()
-		if !connection.expired(now) && connection.quiet() {
+		if !connection.expired(now) && connection.clean() {
 			return connection
 		}
 		connection.close()
-		p.discard(connection)
+		p.connectionClosed(connection)
 	}
 }
 
@@ -162,8 +161,8 @@
 	p.idle = append(p.idle, connection)
 }
 
-// discard counts a connection that was closed.
-func (p *Pool) discard(*Connection) {
+// connectionClosed records that a connection no longer counts towards the limit.
+func (p *Pool) connectionClosed(*Connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.open--
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -9,23 +9,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is what is sent to an engine, byte for byte.
+// Request is a request to an engine. No headers are added except Host and Content-Length.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query, sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// hopHeaders concern one connection only (RFC 9110, 7.6.1) and are never passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, 7.6.1) and are never forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	"Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// EndToEndHeaders returns a copy of header without what concerns one connection only.
+// EndToEndHeaders returns a copy of header without hop-by-hop headers, those named in Connection, and
+// Content-Length.
 func EndToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, line := range header.Values("Connection") {
@@ -33,7 +34,7 @@
 			copied.Del(string(bytes.TrimSpace(name)))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		copied.Del(name)
 	}
 	copied.Del("Content-Length")
@@ -53,16 +54,16 @@
 	return buffer.Bytes()
 }
 
-// Send writes a request and reads the head of its answer. When the context ends, the connection is
-// closed. The error is an ErrExchange.
+// Send writes a request and reads the status and headers of its response. The connection is closed when the
+// context is done, also after Send has returned. The error is an ErrExchange.
 func (p *Pool) Send(ctx context.Context, request *Request) (*Exchange, error) {
 	connection, err := p.get(ctx)
 	if err != nil {
 		return nil, errors.WithStack(&ErrExchange{cause: err})
 	}
 	exchange := &Exchange{pool: p, connection: connection, written: make(chan error, 1)}
-	exchange.stopWatch = watch(ctx, connection)
-	connection.sentBytes.Store(0)
+	exchange.stopWatch = closeOnDone(ctx, connection)
+	connection.writes.Store(0)
 	encoded := request.encode()
 	go func() {
 		_, writeErr := connection.Write(encoded)
@@ -71,12 +72,12 @@
 	exchange.response, err = readHead(connection, request.Method)
 	if err != nil {
 		exchange.Abort()
-		return nil, errors.WithStack(&ErrExchange{Sent: connection.sentBytes.Load() > 0, cause: err})
+		return nil, errors.WithStack(&ErrExchange{Sent: connection.writes.Load() > 0, cause: err})
 	}
 	return exchange, nil
 }
 
-// readHead reads the head of the final answer and passes over informational ones.
+// readHead reads the status and headers of the final response and skips informational responses.
 func readHead(connection *Connection, method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(connection.reader, &http.Request{Method: method})
@@ -84,7 +85,7 @@
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			// Nobody asked for another protocol: what follows is no answer.
+			// The request had no Upgrade header, and what follows is not HTTP.
 			return nil, &ErrProtocolSwitched{}
 		}
 		if response.StatusCode >= http.StatusOK {
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which the syscall package does not name.
-const tcpUserTimeout = 18
+// tcpUserTimeoutOption is Linux's TCP_USER_TIMEOUT, which the syscall package does not define.
+const tcpUserTimeoutOption = 18
 
-// Dialer opens connections that end if nobody acknowledges their bytes for a while; a cut is
-// silent, and after a loss of power the retries of the kernel come seconds late.
+// Dialer returns a dial function for connections that fail if sent data stays unacknowledged for the given time.
+// A network partition or a power failure of the peer sends no reset, and the kernel's retransmissions would
+// detect it only after a long time.
 func Dialer(timeout, unacknowledged time.Duration) func(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{
 		Timeout: timeout,
@@ -21,7 +22,7 @@
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var failed error
 			err := raw.Control(func(descriptor uintptr) {
-				failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledged.Milliseconds()))
+				failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(unacknowledged.Milliseconds()))
 			})
 			if err != nil {
 				return err
@@ -34,8 +35,8 @@
 	}
 }
 
-// stillOpen looks, without waiting, whether the peer has closed the connection or sent bytes.
-func stillOpen(raw net.Conn) bool {
+// openWithoutData reports, without blocking, whether the peer has neither closed the connection nor sent data.
+func openWithoutData(raw net.Conn) bool {
 	connection, ok := raw.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,7 +17,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// engine is a server whose behaviour on each connection is a script.
+// engine is a server that runs a script on each connection.
 type engine struct {
 	listener net.Listener
 	accepted atomic.Int64
@@ -62,7 +62,7 @@
 	_, _ = fmt.Fprintf(connection, format, args...)
 }
 
-// echo answers each request with its body.
+// echo responds to each request with its body.
 func echo(connection net.Conn, reader *bufio.Reader, _ int64) {
 	for {
 		_, body, err := readRequest(reader)
@@ -77,6 +77,7 @@
 	return &Request{Method: http.MethodPost, Target: "/a/b?c=%20d", Host: "h.example", Header: http.Header{"X-One": {"1"}}, Body: []byte(body)}
 }
 
+// exchangeWhole sends a request and returns the whole response body.
 func exchangeWhole(t *testing.T, pool *Pool, request *Request) (string, error) {
 	t.Helper()
 	exchange, err := pool.Send(context.Background(), request)
@@ -92,7 +93,7 @@
 	return string(body), nil
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	server := startEngine(t, echo)
 	pool := server.pool(4)
 	for step := range 5 {
@@ -104,7 +105,7 @@
 	assert.Equal(t, pool.Opened(), int64(1))
 }
 
-func TestRequestsArriveByteForByte(t *testing.T) {
+func TestRequestsAreSentUnchanged(t *testing.T) {
 	arrived := make(chan *http.Request, 1)
 	bodies := make(chan string, 1)
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, _ int64) {
@@ -126,8 +127,8 @@
 	assert.Equal(t, <-bodies, "some\r\n\r\nGET / HTTP/1.1\r\n")
 }
 
-// A request is never sent again by itself when a connection that was used before breaks.
-func TestNoSilentReplay(t *testing.T) {
+// A request is not retried when a reused connection fails.
+func TestNoRetryOnReusedConnection(t *testing.T) {
 	var requests atomic.Int64
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, _ int64) {
 		for {
@@ -150,7 +151,7 @@
 	assert.Equal(t, requests.Load(), int64(2))
 }
 
-func TestDeadPortIsKnownAsNotSent(t *testing.T) {
+func TestRefusedConnectionMeansNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
@@ -161,14 +162,14 @@
 	assert.Assert(t, !failed.Sent)
 }
 
-// Bytes after a whole answer belong to no request: the next one gets a new connection.
-func TestSurplusAnswerSpoilsTheConnection(t *testing.T) {
+// Data after a complete response must not be taken for the response to the next request.
+func TestSurplusDataClosesTheConnection(t *testing.T) {
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, number int64) {
 		if _, _, err := readRequest(reader); err != nil {
 			return
 		}
-		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", number)
-		reply(connection, "%s%s", answer, answer)
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", number)
+		reply(connection, "%s%s", response, response)
 		_, _ = reader.ReadByte()
 	})
 	pool := server.pool(4)
@@ -180,7 +181,7 @@
 	assert.Equal(t, second, "2")
 }
 
-func TestSurplusAnswerThatComesLateSpoilsTheConnection(t *testing.T) {
+func TestLateSurplusDataClosesTheConnection(t *testing.T) {
 	surplus := make(chan struct{})
 	sent := make(chan struct{})
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, number int64) {
@@ -203,26 +204,26 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		pool.mutex.Lock()
 		defer pool.mutex.Unlock()
-		if len(pool.idle) == 1 && !pool.idle[0].quiet() {
+		if len(pool.idle) == 1 && !pool.idle[0].clean() {
 			return poll.Success()
 		}
-		return poll.Continue("the surplus bytes have not arrived")
+		return poll.Continue("the surplus data has not arrived")
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 	second, err := exchangeWhole(t, pool, post(""))
 	assert.NilError(t, err)
 	assert.Equal(t, second, "2")
 }
 
-// An answer that comes before the body was read must not leave the rest of the body to be taken
-// for the next request.
-func TestEarlyAnswerWithUnreadBody(t *testing.T) {
+// After a response that precedes the end of the request body, the rest of that body must not be taken for the next
+// request.
+func TestEarlyResponseWithUnreadBody(t *testing.T) {
 	ended := make(chan struct{})
 	defer close(ended)
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, number int64) {
 		if number == 1 {
 			_, _ = reader.ReadString('\n')
 			reply(connection, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
-			<-ended // keeps the connection open without reading on
+			<-ended // keeps the connection open without reading
 			return
 		}
 		echo(connection, reader, number)
@@ -237,8 +238,8 @@
 	assert.Equal(t, pool.Opened(), int64(2))
 }
 
-func TestTruncatedAnswersAreErrors(t *testing.T) {
-	for name, answer := range map[string]string{
+func TestTruncatedResponsesAreErrors(t *testing.T) {
+	for name, response := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
 		"head":    "HTTP/1.1 200 OK\r\nConte",
@@ -247,7 +248,7 @@
 	} {
 		server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, _ int64) {
 			if _, _, err := readRequest(reader); err == nil {
-				reply(connection, "%s", answer)
+				reply(connection, "%s", response)
 			}
 		})
 		pool := server.pool(1)
@@ -257,14 +258,14 @@
 	}
 }
 
-func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsWithItsConnection(t *testing.T) {
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, number int64) {
 		if _, _, err := readRequest(reader); err != nil {
 			return
 		}
 		reply(connection, "HTTP/1.1 200 OK\r\n\r\nall of it")
 		if number == 2 {
-			_ = connection.(*net.TCPConn).SetLinger(0) // a reset in place of an end
+			_ = connection.(*net.TCPConn).SetLinger(0) // close with a reset
 		}
 	})
 	pool := server.pool(1)
@@ -272,10 +273,10 @@
 	assert.NilError(t, err)
 	assert.Equal(t, body, "all of it")
 	_, err = exchangeWhole(t, pool, post(""))
-	assert.Assert(t, err != nil, "an answer that was reset on the way is not whole")
+	assert.Assert(t, err != nil, "a response that ended with a reset is not complete")
 }
 
-func TestInformationalAnswersArePassedOver(t *testing.T) {
+func TestInformationalResponsesAreSkipped(t *testing.T) {
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, _ int64) {
 		if _, _, err := readRequest(reader); err == nil {
 			reply(connection, "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -286,7 +287,7 @@
 	assert.Equal(t, body, "ok")
 }
 
-func TestKeepAliveTimeIsObeyed(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for header, opened := range map[string]int64{"timeout=0": 2, "timeout=5, max=100": 1, "max=3": 1} {
 		server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, _ int64) {
 			for {
@@ -302,7 +303,7 @@
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, pool.Opened(), opened, header)
-		assert.Equal(t, pool.HasIdle(), opened == 1, "a connection that the engine is about to close counts as free: %s", header)
+		assert.Equal(t, pool.HasIdle(), opened == 1, "an expired connection counts as idle: %s", header)
 	}
 }
 
@@ -329,7 +330,7 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the engine still has the connection")
+		t.Fatal("the connection is still open")
 	}
 }
 
@@ -351,7 +352,7 @@
 		if pool.Opened() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("not sent yet")
+		return poll.Continue("the request has not been sent")
 	})
 	_, err := pool.Send(context.Background(), post(""))
 	var limit *ErrConnectionLimit
@@ -362,7 +363,7 @@
 	assert.NilError(t, <-done)
 }
 
-func TestHopHeadersAreNotPassedOn(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	passed := EndToEndHeaders(http.Header{
 		"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "X-Yours": {"2"}, "Keep-Alive": {"timeout=1"},
 		"Transfer-Encoding": {"chunked"}, "Content-Length": {"3"}, "Te": {"trailers"},
@@ -373,8 +374,8 @@
 func FuzzReadHead(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, answer []byte) {
-		connection := &Connection{reader: bufio.NewReader(strings.NewReader(string(answer)))}
+	f.Fuzz(func(t *testing.T, data []byte) {
+		connection := &Connection{reader: bufio.NewReader(strings.NewReader(string(data)))}
 		response, err := readHead(connection, http.MethodPost)
 		if err == nil && response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols {
 			t.Fatalf("status %d is not final", response.StatusCode)
