--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing finds the route of a request: by host, then by the longest path prefix. A Table
-// is made from a Specification, never changes, and may be read by many goroutines.
+// Package routing matches requests to routes by host and longest path prefix. A Table is built from a
+// Specification and is immutable, so that it may be used concurrently.
 //
 // Usage:
 //
@@ -14,31 +14,31 @@
 	"time"
 )
 
-// defaultAttempts is how many engines a request may be sent to if the route doesn't say.
+// defaultAttempts is the number of engines that may run a request if the route does not set it.
 const defaultAttempts = 1
 
-// Route is one route of a Table.
+// Route is a route of a Table: the requests that it matches and how they are handled.
 type Route struct {
 	specification RouteSpecification
 	totalWeight   float64
 }
 
-// Name returns the operator's name of the route.
+// Name returns the configured name of the route.
 func (r *Route) Name() string { return r.specification.Name }
 
-// Kind tells what may be done with a request after a failure.
+// Kind returns the kind of the requests, which decides how failures are handled.
 func (r *Route) Kind() Kind { return r.specification.Kind }
 
-// Timeout is the longest time that a request may be held.
+// Timeout returns the maximum duration of a request.
 func (r *Route) Timeout() time.Duration { return milliseconds(r.specification.TimeoutMillis) }
 
-// Objective is the time within which an answer, or the first event of one, is in time.
+// Objective returns the latency objective of the response, or of the first event of a stream.
 func (r *Route) Objective() time.Duration { return milliseconds(r.specification.ObjectiveMillis) }
 
-// Priority is the rank of the route; 0 is the most urgent.
+// Priority returns the priority of the requests; 0 is the highest.
 func (r *Route) Priority() int { return r.specification.Priority }
 
-// Attempts is the largest number of engines that may run one request.
+// Attempts returns the maximum number of engines that may run a request.
 func (r *Route) Attempts() int {
 	if r.specification.Attempts < 1 {
 		return defaultAttempts
@@ -46,29 +46,29 @@
 	return r.specification.Attempts
 }
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.specification.Kind == Safe || (r.specification.Kind == Stream && r.specification.Resumable)
 }
 
-// Sticky tells whether requests with a common prompt should meet at one engine.
+// Sticky reports whether requests whose prompts have a common prefix should go to the same engine.
 func (r *Route) Sticky() bool { return r.specification.Sticky }
 
-// StoreTurns tells whether turns are stored and may be continued.
+// StoreTurns reports whether turns are stored so that later requests can continue them.
 func (r *Route) StoreTurns() bool { return r.specification.StoreTurns }
 
-// Retention is how long a turn is kept after the end of its answer.
+// Retention returns how long a turn is stored after the end of its response.
 func (r *Route) Retention() time.Duration {
 	return milliseconds(r.specification.RetentionSeconds * 1000)
 }
 
-// Pick returns the service for a uniform random number in [0, 1).
+// Pick returns a service, chosen by weight with a uniform random number in [0, 1).
 func (r *Route) Pick(uniform float64) string {
-	left := uniform * r.totalWeight
+	remaining := uniform * r.totalWeight
 	targets := r.specification.Targets
 	for _, target := range targets {
-		left -= target.Weight
-		if left < 0 {
+		remaining -= target.Weight
+		if remaining < 0 {
 			return target.Service
 		}
 	}
@@ -79,7 +79,7 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// Table holds the routes and services of one configuration.
+// Table holds the routes, services and limits of one version of the configuration.
 type Table struct {
 	version  int64
 	hosts    map[string]map[string]*Route
@@ -87,9 +87,9 @@
 	limits   LimitSpecification
 }
 
-// New makes a Table. The error is an ErrInvalid if the specification can't be used.
+// New validates a specification and returns its Table. The error is an ErrInvalid.
 func New(specification Specification) (*Table, error) {
-	if err := specification.check(); err != nil {
+	if err := specification.validate(); err != nil {
 		return nil, err
 	}
 	table := &Table{
@@ -121,20 +121,20 @@
 	prefixes[specification.Prefix] = route
 }
 
-// Version is the operator's number of the configuration.
+// Version returns the version of the configuration, as set by the operator.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits bounds what a caller may send.
+// Limits returns the limits on the size of requests.
 func (t *Table) Limits() LimitSpecification { return t.limits }
 
-// Service returns a service by its name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (ServiceSpecification, bool) {
 	service, found := t.services[name]
 	return service, found
 }
 
-// Match returns the route with the longest prefix of path among those of host. The port of host,
-// and the case of its letters, do not count.
+// Match returns the route of host with the longest prefix of path. The port and the case of host are
+// ignored.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchUsesTheLongestPrefixOfTheHost(t *testing.T) {
 	table, err := New(specification())
 	assert.NilError(t, err)
 	for _, example := range []struct{ host, path, route string }{
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestSharesFollowWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	table, err := New(specification())
 	assert.NilError(t, err)
 	route, _ := table.Match("a.example", "/x/y/z")
@@ -69,19 +69,19 @@
 	assert.Equal(t, unsafe.Attempts(), 1)
 }
 
-func TestUnusableConfigurationsAreRefusedWhole(t *testing.T) {
-	for name, spoil := range map[string]func(*Specification){
-		"no host":          func(s *Specification) { s.Routes[0].Host = "" },
-		"prefix":           func(s *Specification) { s.Routes[0].Prefix = "x/" },
-		"kind":             func(s *Specification) { s.Routes[0].Kind = "any" },
-		"time limit":       func(s *Specification) { s.Routes[0].TimeoutMillis = 0 },
-		"no service":       func(s *Specification) { s.Routes[0].Targets = nil },
-		"unknown service":  func(s *Specification) { s.Routes[0].Targets[0].Service = "none" },
-		"nameless service": func(s *Specification) { s.Services[0].Name = "" },
+func TestInvalidSpecificationsAreRejected(t *testing.T) {
+	for name, modify := range map[string]func(*Specification){
+		"no host":         func(s *Specification) { s.Routes[0].Host = "" },
+		"prefix":          func(s *Specification) { s.Routes[0].Prefix = "x/" },
+		"kind":            func(s *Specification) { s.Routes[0].Kind = "any" },
+		"timeout":         func(s *Specification) { s.Routes[0].TimeoutMillis = 0 },
+		"no service":      func(s *Specification) { s.Routes[0].Targets = nil },
+		"unknown service": func(s *Specification) { s.Routes[0].Targets[0].Service = "none" },
+		"unnamed service": func(s *Specification) { s.Services[0].Name = "" },
 	} {
-		broken := specification()
-		spoil(&broken)
-		_, err := New(broken)
+		modified := specification()
+		modify(&modified)
+		_, err := New(modified)
 		var invalid *ErrInvalid
 		assert.Assert(t, errors.As(err, &invalid), name)
 		assert.Assert(t, invalid.Reason != "", name)
--- a/internal/routing/specification.go
+++ b/internal/routing/specification.go
@@ -6,27 +6,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind tells what may be done with a request after a failure.
+// Kind is a class of requests; it decides whether a request may be retried after a failure.
 type Kind string
 
-// The kinds of requests.
+// The request kinds.
 const (
 	// Safe requests may run more than once.
 	Safe Kind = "safe"
 	// Unsafe requests run at most once for each request of a caller.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered by events; they may run once, unless the route is resumable.
+	// Stream requests have an event stream as response; they run at most once unless the route is resumable.
 	Stream Kind = "stream"
 )
 
-// TargetSpecification is one service that gets a share of a route's requests.
+// TargetSpecification assigns a share of a route's requests to a service, in proportion to its weight.
 type TargetSpecification struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// RouteSpecification is one route as it is stored and sent between nodes. Times are in
-// milliseconds.
+// RouteSpecification is a route as it is stored and sent between nodes.
 type RouteSpecification struct {
 	Name            string                `json:"name"`
 	Host            string                `json:"host"`
@@ -39,27 +38,27 @@
 	Targets         []TargetSpecification `json:"targets"`
 	Resumable       bool                  `json:"resumable,omitempty"`
 	Sticky          bool                  `json:"sticky,omitempty"`
-	// StoreTurns routes have their turns stored, for RetentionSeconds after the end of each.
+	// StoreTurns enables storing turns, for RetentionSeconds after the end of each.
 	StoreTurns       bool    `json:"kept,omitempty"`
 	RetentionSeconds float64 `json:"retention_seconds,omitempty"`
 }
 
-// ServiceSpecification is one pool of engines.
+// ServiceSpecification is a service: a group of engines that serve the same requests.
 type ServiceSpecification struct {
 	Name           string `json:"name"`
 	MaxConnections int    `json:"max_connections"`
-	// TokensPerEvent is how many tokens an event of the service's streams counts for; 0 for
-	// services that generate none.
+	// TokensPerEvent is the number of tokens that an event of the service's streams counts as; 0 for
+	// services that generate no tokens.
 	TokensPerEvent int `json:"tokens_per_event,omitempty"`
 }
 
-// LimitSpecification bounds what a caller may send.
+// LimitSpecification limits the size of requests.
 type LimitSpecification struct {
 	HeaderBytes int64 `json:"header_bytes"`
 	BodyBytes   int64 `json:"body_bytes"`
 }
 
-// Specification is a whole configuration of routes.
+// Specification is a complete routing configuration.
 type Specification struct {
 	Version  int64                  `json:"version"`
 	Routes   []RouteSpecification   `json:"routes"`
@@ -67,7 +66,7 @@
 	Limits   LimitSpecification     `json:"limits"`
 }
 
-// ErrInvalid means that a configuration can't be used; the last good one stays in force.
+// ErrInvalid means that a configuration is rejected; the last valid one stays in use.
 type ErrInvalid struct {
 	Field  string
 	Reason string
@@ -76,41 +75,41 @@
 // Error implements error.
 func (e *ErrInvalid) Error() string { return "configuration: " + e.Field + ": " + e.Reason }
 
-func (s *Specification) check() error {
+func (s *Specification) validate() error {
 	services := make(map[string]bool, len(s.Services))
 	for _, service := range s.Services {
 		if service.Name == "" {
-			return errors.WithStack(&ErrInvalid{Field: "services", Reason: "a service has no name"})
+			return errors.WithStack(&ErrInvalid{Field: "services", Reason: "a service without a name"})
 		}
 		services[service.Name] = true
 	}
 	for index := range s.Routes {
-		if err := s.Routes[index].check(services); err != nil {
+		if err := s.Routes[index].validate(services); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *RouteSpecification) check(services map[string]bool) error {
+func (r *RouteSpecification) validate(services map[string]bool) error {
 	invalid := func(reason string) error {
 		return errors.WithStack(&ErrInvalid{Field: "route " + r.Name, Reason: reason})
 	}
 	switch {
 	case r.Host == "":
-		return invalid("it has no host")
+		return invalid("host is missing")
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return invalid("its prefix does not begin and end with a slash")
+		return invalid("prefix must begin and end with a slash")
 	case r.Kind != Safe && r.Kind != Unsafe && r.Kind != Stream:
-		return invalid("its kind is unknown")
+		return invalid("unknown kind")
 	case r.TimeoutMillis <= 0:
-		return invalid("its time limit is not positive")
+		return invalid("timeout must be positive")
 	case len(r.Targets) == 0:
-		return invalid("it has no service")
+		return invalid("no target service")
 	}
 	for _, target := range r.Targets {
 		if !services[target.Service] {
-			return invalid("its service " + target.Service + " is not defined")
+			return invalid("service " + target.Service + " is not defined")
 		}
 	}
 	return nil
