--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,18 +1,17 @@
-// Package load lets gateways know how busy each engine is with the calls of all of them. Each gateway counts its own
-// calls in flight; it reports them to the replicas with the openings of turns that it sends anyway, and gets back
-// the sum of what the others reported. No message is sent for it alone, and news that stays away only means
-// that a gateway counts on its own calls again.
+// Package load shares the number of calls in flight per engine among gateways. Each gateway reports its own calls
+// in flight to the replicas, along with the requests that open turns, and receives the sum of the other gateways'
+// reports in the response. Without recent reports a gateway relies on its own calls alone.
 //
-// Counts is one set of counts; Aggregator is the side of a replica, View that of a gateway, Pacer bounds the bytes.
+// Counts is the encoding of a report; a replica uses an Aggregator, and a gateway a View and a Pacer.
 //
 // Usage:
 //
-//	board := load.NewAggregator()                       // in a replica
-//	others := board.Exchange(now, "gateway-1", reported)
+//	aggregator := load.NewAggregator()             // in a replica
+//	others := aggregator.Exchange(now, "gateway-1", reported)
 //
 //	view := load.NewView()                         // in a gateway
 //	view.Take(now, others)
-//	busy := own + view.Calls(now, load.KeyOf("engine-1"))
+//	calls := own + view.Calls(now, load.KeyOf("engine-1"))
 package load
 
 import (
@@ -30,46 +29,47 @@
 )
 
 const (
-	// reportKept is how long a replica counts a report that was not followed by another. A gateway that goes on serving
-	// reports several times a second.
-	reportKept = 1500 * time.Millisecond
-	// newsHalfLife is how fast a gateway stops relying on what it heard last: a call lasts about as long.
-	newsHalfLife = 500 * time.Millisecond
-	// mostEntries bounds a sheet: of more engines only the busiest are told.
-	mostEntries = 64
-	// keyBytes is how many bytes of an engine's hash name it. Two engines with one key, which is one pair in 200
-	// deployments of 400 engines, are each taken to be as busy as both.
+	// reportExpiry is how long a replica uses a gateway's report without a newer one. Gateways with traffic report
+	// several times a second.
+	reportExpiry = 1500 * time.Millisecond
+	// reportFreshAge is the age up to which a report counts in full; then its weight falls with the square of its age. It is
+	// about the duration of a call.
+	reportFreshAge = 500 * time.Millisecond
+	// maxEntries bounds the engines in a report; the busiest ones are kept.
+	maxEntries = 64
+	// keyBytes is how many bytes of the hash of an engine's ID form its key. If two engines have the same key, the calls
+	// of both count for each.
 	keyBytes = 3
 )
 
-// Key names an engine in a sheet, in four characters: with whole names, what gateways know of one another would be two
-// and a half times as old for the same bytes.
+// Key identifies an engine in a report: a short hash of its ID, in base64. Short keys allow more frequent reports
+// within the same bandwidth.
 type Key string
 
-// KeyOf returns the key of an engine.
+// KeyOf returns the key of the engine with an ID.
 func KeyOf(engine string) Key {
 	hash := binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(engine))
 	return Key(base64.RawURLEncoding.EncodeToString(hash[:keyBytes]))
 }
 
-// keyCharacters is the length of a Key.
-var keyCharacters = base64.RawURLEncoding.EncodedLen(keyBytes)
+// keyLength is the length of a Key in characters.
+var keyLength = base64.RawURLEncoding.EncodedLen(keyBytes)
 
-// Count is how many calls are in flight at one engine.
+// Count is the number of calls in flight at one engine.
 type Count struct {
 	Engine Key
 	Calls  int
 }
 
-// Counts is a set of counts; engines without calls are left out. On the wire it is one text, each engine's key with its
-// calls behind it, separated by commas, for it is sent many times a second.
+// Counts is a report of the calls in flight; engines without calls are omitted. It is encoded compactly as text: each
+// engine's key followed by its number of calls, separated by commas.
 type Counts []Count
 
-// ErrCounts means that a text is no sheet.
+// ErrCounts means that a text is not an encoding of Counts.
 type ErrCounts struct{ Text string }
 
 // Error implements error.
-func (e *ErrCounts) Error() string { return "no counts of calls: " + strconv.Quote(e.Text) }
+func (e *ErrCounts) Error() string { return "invalid call counts: " + strconv.Quote(e.Text) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (s Counts) MarshalText() ([]byte, error) {
@@ -91,19 +91,19 @@
 		return nil
 	}
 	for _, part := range strings.Split(string(text), ",") {
-		if len(part) <= keyCharacters {
+		if len(part) <= keyLength {
 			return errors.WithStack(&ErrCounts{Text: part})
 		}
-		calls, err := strconv.Atoi(part[keyCharacters:])
+		calls, err := strconv.Atoi(part[keyLength:])
 		if err != nil || calls < 0 {
 			return errors.WithStack(&ErrCounts{Text: part})
 		}
-		*s = append(*s, Count{Engine: Key(part[:keyCharacters]), Calls: calls})
+		*s = append(*s, Count{Engine: Key(part[:keyLength]), Calls: calls})
 	}
 	return nil
 }
 
-// Busiest returns the sheet without all but the busiest engines.
+// Busiest returns the entries of the busiest engines, at most maxEntries of them. It sorts the receiver.
 func (s Counts) Busiest() Counts {
 	slices.SortFunc(s, func(a, b Count) int {
 		if a.Calls != b.Calls {
@@ -111,38 +111,38 @@
 		}
 		return cmp.Compare(a.Engine, b.Engine)
 	})
-	return s[:min(len(s), mostEntries)]
+	return s[:min(len(s), maxEntries)]
 }
 
-// Aggregator adds up the reports of gateways. All methods may be called concurrently.
+// Aggregator sums up the reports of gateways. All methods may be called concurrently.
 type Aggregator struct {
 	mutex   sync.Mutex
 	reports map[string]report
 }
 
 type report struct {
-	sheet Counts
-	at    time.Time
+	counts Counts
+	at     time.Time
 }
 
-// NewAggregator returns a Aggregator without reports.
+// NewAggregator returns an Aggregator without reports.
 func NewAggregator() *Aggregator { return &Aggregator{reports: make(map[string]report)} }
 
-// Exchange takes a gateway's report in place of its last one, and returns the sum of all others.
-func (b *Aggregator) Exchange(now time.Time, gateway string, reported Counts) Counts {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.reports[gateway] = report{sheet: reported, at: now}
+// Exchange replaces a gateway's last report and returns the sum of the other gateways' reports.
+func (a *Aggregator) Exchange(now time.Time, gateway string, reported Counts) Counts {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.reports[gateway] = report{counts: reported, at: now}
 	sums := make(map[Key]int)
-	for name, known := range b.reports {
-		if now.Sub(known.at) > reportKept {
-			delete(b.reports, name)
+	for name, known := range a.reports {
+		if now.Sub(known.at) > reportExpiry {
+			delete(a.reports, name)
 			continue
 		}
 		if name == gateway {
 			continue
 		}
-		for _, count := range known.sheet {
+		for _, count := range known.counts {
 			sums[count.Engine] += count.Calls
 		}
 	}
@@ -153,17 +153,17 @@
 	return others.Busiest()
 }
 
-// View is what a gateway knows of the others' calls. All methods may be called concurrently.
+// View holds the calls in flight of the other gateways. All methods may be called concurrently.
 type View struct {
 	mutex sync.Mutex
 	calls map[Key]int
 	at    time.Time
 }
 
-// NewView returns a View that knows nothing.
+// NewView returns a View without a report.
 func NewView() *View { return &View{calls: make(map[Key]int)} }
 
-// Take replaces what is known by the answer of a replica.
+// Take replaces the counts by those in a replica's response.
 func (v *View) Take(now time.Time, others Counts) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -174,7 +174,8 @@
 	v.at = now
 }
 
-// Others is how many calls of other gateways an engine is expected to have. It fades with the age of the news.
+// Calls returns the estimated number of the other gateways' calls in flight at an engine. It decays with the age of the
+// last report.
 func (v *View) Calls(now time.Time, engine Key) float64 {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -182,21 +183,21 @@
 	if calls == 0 {
 		return 0
 	}
-	return float64(calls) * v.trust(now)
+	return float64(calls) * v.weight(now)
 }
 
-// Age is how old the news is; it reports false if there never was any.
+// Age returns the age of the last report, and false if there has been none.
 func (v *View) Age(now time.Time) (time.Duration, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return now.Sub(v.at), !v.at.IsZero()
 }
 
-// trust is 1 for fresh news and falls towards 0. The caller holds the mutex.
-func (v *View) trust(now time.Time) float64 {
-	halfLives := float64(now.Sub(v.at)) / float64(newsHalfLife)
-	if halfLives <= 1 {
+// weight returns the weight of the last report: 1 while it is recent, then falling towards 0. The caller holds the mutex.
+func (v *View) weight(now time.Time) float64 {
+	relativeAge := float64(now.Sub(v.at)) / float64(reportFreshAge)
+	if relativeAge <= 1 {
 		return 1
 	}
-	return 1 / halfLives / halfLives
+	return 1 / relativeAge / relativeAge
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -11,14 +11,14 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestSheetGoesThroughJSON(t *testing.T) {
-	sheet := Counts{{Engine: "e--1", Calls: 3}, {Engine: "e--2", Calls: 12}}
-	encoded, err := json.Marshal(sheet)
+func TestCountsEncoding(t *testing.T) {
+	counts := Counts{{Engine: "e--1", Calls: 3}, {Engine: "e--2", Calls: 12}}
+	encoded, err := json.Marshal(counts)
 	assert.NilError(t, err)
 	assert.Equal(t, string(encoded), `"e--13,e--212"`)
 	var decoded Counts
 	assert.NilError(t, json.Unmarshal(encoded, &decoded))
-	assert.DeepEqual(t, decoded, sheet)
+	assert.DeepEqual(t, decoded, counts)
 	for _, damaged := range []string{"e-1", "e--1", "e--1x", "e--1-1", "e--11,"} {
 		var failed *ErrCounts
 		assert.Assert(t, assertAs(decoded.UnmarshalText([]byte(damaged)), &failed), damaged)
@@ -40,45 +40,45 @@
 	return false
 }
 
-func TestBoardAddsUpTheOthers(t *testing.T) {
-	board := NewAggregator()
-	assert.Equal(t, len(board.Exchange(start, "g1", Counts{{"e1", 2}, {"e2", 1}})), 0)
-	assert.DeepEqual(t, board.Exchange(start, "g2", Counts{{"e1", 5}}), Counts{{"e1", 2}, {"e2", 1}})
-	assert.DeepEqual(t, board.Exchange(start, "g3", nil), Counts{{"e1", 7}, {"e2", 1}})
-	// A later report replaces the one before it.
-	assert.DeepEqual(t, board.Exchange(start, "g1", Counts{{"e2", 4}}), Counts{{"e1", 5}})
+func TestExchangeReturnsSumOfOtherGateways(t *testing.T) {
+	aggregator := NewAggregator()
+	assert.Equal(t, len(aggregator.Exchange(start, "g1", Counts{{"e1", 2}, {"e2", 1}})), 0)
+	assert.DeepEqual(t, aggregator.Exchange(start, "g2", Counts{{"e1", 5}}), Counts{{"e1", 2}, {"e2", 1}})
+	assert.DeepEqual(t, aggregator.Exchange(start, "g3", nil), Counts{{"e1", 7}, {"e2", 1}})
+	// A newer report replaces the previous one.
+	assert.DeepEqual(t, aggregator.Exchange(start, "g1", Counts{{"e2", 4}}), Counts{{"e1", 5}})
 }
 
-// A gateway that died must not count for longer than its calls last.
-func TestBoardForgetsGatewaysThatStopReporting(t *testing.T) {
-	board := NewAggregator()
-	board.Exchange(start, "g1", Counts{{"e1", 2}})
-	assert.Equal(t, len(board.Exchange(start.Add(reportKept+time.Millisecond), "g2", nil)), 0)
+// The calls of a crashed gateway must not count for longer than calls last.
+func TestReportsExpire(t *testing.T) {
+	aggregator := NewAggregator()
+	aggregator.Exchange(start, "g1", Counts{{"e1", 2}})
+	assert.Equal(t, len(aggregator.Exchange(start.Add(reportExpiry+time.Millisecond), "g2", nil)), 0)
 }
 
-func TestOldNewsFades(t *testing.T) {
+func TestOldReportsDecay(t *testing.T) {
 	view := NewView()
 	_, known := view.Age(start)
 	assert.Assert(t, !known)
 	view.Take(start, Counts{{"e1", 8}})
-	assert.Equal(t, view.Calls(start.Add(newsHalfLife), "e1"), 8.0)
-	assert.Equal(t, view.Calls(start.Add(2*newsHalfLife), "e1"), 2.0)
-	assert.Assert(t, view.Calls(start.Add(10*newsHalfLife), "e1") < 0.1)
+	assert.Equal(t, view.Calls(start.Add(reportFreshAge), "e1"), 8.0)
+	assert.Equal(t, view.Calls(start.Add(2*reportFreshAge), "e1"), 2.0)
+	assert.Assert(t, view.Calls(start.Add(10*reportFreshAge), "e1") < 0.1)
 	assert.Equal(t, view.Calls(start, "e2"), 0.0)
 }
 
-func TestLargeSheetsTellTheBusiest(t *testing.T) {
-	var sheet Counts
+func TestLargeReportsKeepTheBusiestEngines(t *testing.T) {
+	var counts Counts
 	for index := range 200 {
-		sheet = append(sheet, Count{Engine: KeyOf(fmt.Sprint("e", index)), Calls: index})
+		counts = append(counts, Count{Engine: KeyOf(fmt.Sprint("e", index)), Calls: index})
 	}
-	busiest := sheet.Busiest()
-	assert.Equal(t, len(busiest), mostEntries)
+	busiest := counts.Busiest()
+	assert.Equal(t, len(busiest), maxEntries)
 	assert.Equal(t, busiest[0], Count{KeyOf("e199"), 199})
 }
 
-// Reports and answers of any size take no more than their bytes a second.
-func TestPacerBoundsTheBytes(t *testing.T) {
+// Reports and responses of any size must stay within the bandwidth.
+func TestPacerLimitsBandwidth(t *testing.T) {
 	for _, size := range []int{10, 400, 5000} {
 		var pacer Pacer
 		bytes := 0
@@ -92,11 +92,11 @@
 	}
 }
 
-func TestKeysAreShortAndDiffer(t *testing.T) {
+func TestKeysAreShortAndDistinct(t *testing.T) {
 	seen := make(map[Key]bool)
 	for index := range 400 {
 		key := KeyOf(fmt.Sprint("engine-", index))
-		assert.Equal(t, len(key), keyCharacters)
+		assert.Equal(t, len(key), keyLength)
 		seen[key] = true
 	}
 	assert.Equal(t, len(seen), 400)
--- a/internal/load/pacer.go
+++ b/internal/load/pacer.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// shortestPause is the least time between two reports: within it, an engine gets a few calls at most.
-	shortestPause = 60 * time.Millisecond
-	// bytesPerSecond is what reports and answers may take: two thirds of the 6 KB/s that control may use on a node.
+	// minReportInterval is the least time between two reports; an engine gets only a few calls within it.
+	minReportInterval = 60 * time.Millisecond
+	// bytesPerSecond is the bandwidth for reports and responses: two thirds of the 6 KB/s for a node's control traffic.
 	bytesPerSecond = 4000
 )
 
-// Pacer says when a gateway may report, so that the bytes of reports and answers stay bounded however many engines and
-// replicas there are. All methods may be called concurrently.
+// Pacer limits the rate of a gateway's reports, so that reports and responses stay within a fixed bandwidth for any
+// number of engines and replicas. All methods may be called concurrently.
 type Pacer struct {
 	mutex sync.Mutex
 	next  time.Time
 }
 
-// Allow reports whether a report may be sent now, and counts it as sent.
+// Allow reports whether a report may be sent now. If so, it counts as sent.
 func (p *Pacer) Allow(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if now.Before(p.next) {
 		return false
 	}
-	p.next = now.Add(shortestPause)
+	p.next = now.Add(minReportInterval)
 	return true
 }
 
-// Charge counts bytes that a report or its answer took.
+// Charge records the bytes of a report or its response, and delays the next report accordingly.
 func (p *Pacer) Charge(bytes int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
