--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -18,120 +18,122 @@
 	acquireKind = "limit_acquire"
 	releaseKind = "limit_release"
 
-	acquireTimeout = 2 * time.Second
-	busyRetry      = 500 * time.Millisecond
+	acquireTimeout        = 2 * time.Second
+	concurrencyRetryAfter = 500 * time.Millisecond
 )
 
-// Request asks for a permit of a tenant on a service.
+// Request is a request for a tenant's permit to run a call on a service, or to release it.
 type Request struct {
 	Tenant  string `json:"tenant"`
 	Service string `json:"service"`
 	CallID  string `json:"call"`
-	// HoldMillis is how long the permit is held at the most.
+	// HoldMillis is the time after which the permit expires if it is not released.
 	HoldMillis int64 `json:"hold_ms"`
 }
 
-// Response grants a permit, or tells when to come back.
+// Response is the response to a Request for a permit.
 type Response struct {
-	Granted    bool  `json:"granted"`
+	Granted bool `json:"granted"`
+	// RetryAfter is in milliseconds.
 	RetryAfter int64 `json:"retry_after_ms,omitempty"`
 }
 
-type pair struct{ tenant, service string }
+type limitKey struct{ tenant, service string }
 
-// counter is the use of one limit. Limiter's mutex guards it.
+// counter holds the permits of one limit. Limiter's mutex guards it.
 type counter struct {
 	bucket *rate.Limiter
-	held   map[string]time.Time
+	// held maps the IDs of calls with a permit to its expiry.
+	held map[string]time.Time
 }
 
-// Limiter enforces limits over all nodes: each pair of tenant and service has one keeper, found by
-// rendezvous hashing, so that no node counts for all. While members disagree about who that is,
-// two keepers may each grant the limit for a moment.
+// Limiter enforces limits across all nodes. The limit of each tenant on each service is counted by one owner node,
+// chosen by rendezvous hashing, so that no single node counts for all limits. While nodes disagree about the
+// membership, two owners may each grant the full limit.
 type Limiter struct {
 	network    *transport.Transport
 	membership *membership.Manager
 	config     *configuration.Manager
 
 	mutex    sync.Mutex
-	counters map[pair]*counter
+	counters map[limitKey]*counter
 }
 
-// NewLimiter returns a Limiter and registers its messages.
+// NewLimiter returns a Limiter and registers its message handlers with network.
 func NewLimiter(network *transport.Transport, members *membership.Manager, config *configuration.Manager) *Limiter {
-	keeper := &Limiter{network: network, membership: members, config: config, counters: make(map[pair]*counter)}
+	limiter := &Limiter{network: network, membership: members, config: config, counters: make(map[limitKey]*counter)}
 	transport.Handle(network, acquireKind, func(_ context.Context, _ transport.Peer, request Request) (Response, error) {
-		return keeper.grant(request, time.Now()), nil
+		return limiter.acquireLocal(request, time.Now()), nil
 	})
-	transport.HandleOneWay(network, releaseKind, func(_ transport.Peer, request Request) { keeper.free(request) })
-	return keeper
+	transport.HandleOneWay(network, releaseKind, func(_ transport.Peer, request Request) { limiter.releaseLocal(request) })
+	return limiter
 }
 
-// Acquire takes a permit if the tenant has a limit on the service. Errors: *apierr.Error with
-// LimitExceeded. A keeper that can't be reached does not stop the call: its successor counts anew
-// within seconds, and engines stay protected by their own places.
-func (k *Limiter) Acquire(ctx context.Context, request Request) error {
-	if _, limited := k.config.Current().Set.LimitFor(request.Tenant, request.Service); !limited {
+// Acquire acquires a permit if the tenant has a limit on the service. The error is an *apierr.Error with
+// LimitExceeded. If the owner is unreachable, the call is allowed: the next owner starts counting within
+// seconds, and engines still limit their own concurrency.
+func (l *Limiter) Acquire(ctx context.Context, request Request) error {
+	if _, limited := l.config.Current().Set.LimitFor(request.Tenant, request.Service); !limited {
 		return nil
 	}
-	response, err := k.ask(ctx, request)
+	response, err := l.acquireFromOwner(ctx, request)
 	if err != nil || response.Granted {
 		return nil
 	}
 	wait := time.Duration(response.RetryAfter) * time.Millisecond
-	return apierr.New(apierr.LimitExceeded, apierr.NotRun, "tenant %s is at its limit on service %s", request.Tenant, request.Service).WithRetryAfter(wait)
+	return apierr.New(apierr.LimitExceeded, apierr.NotRun, "tenant %s has reached its limit on service %s", request.Tenant, request.Service).WithRetryAfter(wait)
 }
 
-func (k *Limiter) ask(ctx context.Context, request Request) (Response, error) {
-	self := k.membership.View().Self
-	owner, known := k.owner(request)
+func (l *Limiter) acquireFromOwner(ctx context.Context, request Request) (Response, error) {
+	self := l.membership.View().Self
+	owner, known := l.owner(request)
 	if !known || owner.ID == self.ID {
-		return k.grant(request, time.Now()), nil
+		return l.acquireLocal(request, time.Now()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
-	return transport.Call[Response](ctx, k.network, owner.Address, acquireKind, request)
+	return transport.Call[Response](ctx, l.network, owner.Address, acquireKind, request)
 }
 
-func (k *Limiter) owner(request Request) (membership.Member, bool) {
-	view := k.membership.View()
+func (l *Limiter) owner(request Request) (membership.Member, bool) {
+	view := l.membership.View()
 	return view.Owner("limit/"+request.Tenant+"/"+request.Service, "", view.Self.Region)
 }
 
-// Release gives a permit back.
-func (k *Limiter) Release(request Request) {
-	if _, limited := k.config.Current().Set.LimitFor(request.Tenant, request.Service); !limited {
+// Release releases a permit acquired with the same request.
+func (l *Limiter) Release(request Request) {
+	if _, limited := l.config.Current().Set.LimitFor(request.Tenant, request.Service); !limited {
 		return
 	}
-	owner, known := k.owner(request)
-	if !known || owner.ID == k.membership.View().Self.ID {
-		k.free(request)
+	owner, known := l.owner(request)
+	if !known || owner.ID == l.membership.View().Self.ID {
+		l.releaseLocal(request)
 		return
 	}
-	k.network.Send(owner.Address, releaseKind, request)
+	l.network.Send(owner.Address, releaseKind, request)
 }
 
-// grant counts a call that this node keeps.
-func (k *Limiter) grant(request Request, now time.Time) Response {
-	configured, limited := k.config.Current().Set.LimitFor(request.Tenant, request.Service)
+// acquireLocal acquires a permit of a limit that this node owns. It is idempotent for each call.
+func (l *Limiter) acquireLocal(request Request, now time.Time) Response {
+	configured, limited := l.config.Current().Set.LimitFor(request.Tenant, request.Service)
 	if !limited {
 		return Response{Granted: true}
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	use := k.counter(pair{request.Tenant, request.Service})
-	use.expire(now)
-	if _, again := use.held[request.CallID]; again {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	current := l.counter(limitKey{request.Tenant, request.Service})
+	current.expire(now)
+	if _, alreadyHeld := current.held[request.CallID]; alreadyHeld {
 		return Response{Granted: true}
 	}
-	return use.take(request, configured, now)
+	return current.take(request, configured, now)
 }
 
-func (k *Limiter) counter(key pair) *counter {
-	if k.counters[key] == nil {
-		k.counters[key] = &counter{bucket: rate.NewLimiter(rate.Inf, 1), held: make(map[string]time.Time)}
+func (l *Limiter) counter(key limitKey) *counter {
+	if l.counters[key] == nil {
+		l.counters[key] = &counter{bucket: rate.NewLimiter(rate.Inf, 1), held: make(map[string]time.Time)}
 	}
-	return k.counters[key]
+	return l.counters[key]
 }
 
 func (c *counter) expire(now time.Time) {
@@ -142,10 +144,11 @@
 	}
 }
 
-// take applies the limit as it is configured now; the bucket holds one second's worth.
+// take applies the configured limit, which may have changed since the last call. The token bucket's burst is one
+// second's worth.
 func (c *counter) take(request Request, configured resource.Limit, now time.Time) Response {
 	if configured.Concurrent > 0 && len(c.held) >= configured.Concurrent {
-		return Response{RetryAfter: busyRetry.Milliseconds()}
+		return Response{RetryAfter: concurrencyRetryAfter.Milliseconds()}
 	}
 	if configured.RequestsPerSecond > 0 {
 		c.bucket.SetLimitAt(now, rate.Limit(configured.RequestsPerSecond))
@@ -158,10 +161,10 @@
 	return Response{Granted: true}
 }
 
-func (k *Limiter) free(request Request) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if use := k.counters[pair{request.Tenant, request.Service}]; use != nil {
-		delete(use.held, request.CallID)
+func (l *Limiter) releaseLocal(request Request) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if current := l.counters[limitKey{request.Tenant, request.Service}]; current != nil {
+		delete(current.held, request.CallID)
 	}
 }
--- a/internal/limit/retry.go
+++ b/internal/limit/retry.go
@@ -1,30 +1,30 @@
-// Package limit keeps outages and greedy tenants from multiplying load.
+// Package limit enforces tenants' limits on services, and limits retries.
 package limit
 
 import "sync"
 
-// RetryBudget allows retries as a share of recent successes, so that an outage can't multiply
-// load. The zero value allows none; use NewRetryBudget.
+// RetryBudget limits retries to a ratio of the successes, so that they don't multiply the load in an
+// outage. The zero value allows none; use NewRetryBudget. All methods may be called concurrently.
 type RetryBudget struct {
 	mutex  sync.Mutex
 	ratio  float64
-	most   float64
+	burst  float64
 	tokens float64
 }
 
-// NewRetryBudget allows ratio retries for each success, and most in a row.
-func NewRetryBudget(ratio, most float64) *RetryBudget {
-	return &RetryBudget{ratio: ratio, most: most, tokens: most}
+// NewRetryBudget returns a RetryBudget that allows ratio retries for each success, and burst retries without any.
+func NewRetryBudget(ratio, burst float64) *RetryBudget {
+	return &RetryBudget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Success earns a share of a retry.
+// Success records a success, which earns ratio retries.
 func (b *RetryBudget) Success() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.tokens = min(b.most, b.tokens+b.ratio)
+	b.tokens = min(b.burst, b.tokens+b.ratio)
 }
 
-// Take spends one retry, if there is one.
+// Take spends one retry and reports whether one was available.
 func (b *RetryBudget) Take() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
