--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -85,7 +85,7 @@
 	}
 	node.catalog = catalog.NewManager(catalog.Options{
 		Peers: node.peers, Need: node.turns.Copies, Self: catalog.Feed{Zone: options.Zone}, Source: options.Source, StaleAfter: options.StaleAfter, OnChange: node.apply,
-		FirstStart: options.FirstStart, OnOutage: registry.NoteOutage,
+		FirstStart: options.FirstStart, OnOutage: registry.RecordOutage,
 	}, options.Network, options.Logger)
 	node.server = New(Options{
 		Table: node.table.Load, RoutesReady: node.routesReady, CallerProtocol: options.CallerProtocol, Registry: node.registry, Turns: node.turns,
@@ -187,7 +187,7 @@
 }
 
 func (n *Node) canServe(ctx context.Context) bool {
-	if !n.routesReady() || !n.registry.Any() {
+	if !n.routesReady() || !n.registry.HasEngines() {
 		return false
 	}
 	readyContext, cancel := context.WithTimeout(ctx, time.Second)
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -30,7 +30,7 @@
 			err = errResponseTooLarge{}
 		}
 		if err != nil {
-			return dispatch.Broken(false, err)
+			return dispatch.ResponseError(false, err)
 		}
 		r.server.options.Registry.Observe(attempt.Engine(), "route "+r.route.Name(), time.Since(attempt.SentAt()))
 		r.setHead(attempt)
@@ -49,7 +49,7 @@
 	r.status = attempt.Response().StatusCode
 	r.headSent = true
 	header := r.writer.Header()
-	for name, values := range upstream.PassedOn(attempt.Response().Header) {
+	for name, values := range upstream.EndToEndHeaders(attempt.Response().Header) {
 		header[name] = values
 	}
 }
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -46,13 +46,13 @@
 // replicas lost power, a repeatable turn runs in parallel with its reservation and its events are
 // buffered until that succeeds, so that the delays of engines and replicas overlap.
 func (r *request) openTurn(ctx context.Context, cancelCause context.CancelCauseFunc) error {
-	if r.route.Kind() != routing.Stream || (r.caller.Budget == NoBudget && !r.route.Kept()) {
+	if r.route.Kind() != routing.Stream || (r.caller.Budget == NoBudget && !r.route.StoreTurns()) {
 		return nil
 	}
 	opening := turnstore.Opening{
 		Turn: r.caller.ID, Program: r.caller.Program, Budget: r.caller.Budget, Most: r.caller.Most,
 	}
-	if r.route.Kept() {
+	if r.route.StoreTurns() {
 		opening.Previous = r.caller.Previous
 	}
 	r.reservation = r.reserve(ctx, opening, cancelCause)
@@ -73,7 +73,7 @@
 // After a reservation has failed for lack of replicas, this one would probably fail too and the
 // turn run in vain.
 func (r *request) canRunAhead() bool {
-	return r.route.Repeatable() && !r.route.Kept() && r.server.options.Turns.Steady(r.caller.Program)
+	return r.route.Repeatable() && !r.route.StoreTurns() && r.server.options.Turns.Steady(r.caller.Program)
 }
 
 // awaitReservation waits until the reservation succeeds or fails. It ends with the request's
--- a/internal/ingress/stall.go
+++ b/internal/ingress/stall.go
@@ -35,7 +35,7 @@
 		stall.mutex.Lock()
 		defer stall.mutex.Unlock()
 		if !stall.stopped {
-			attempt.Abandon()
+			attempt.Abort()
 		}
 	})
 	return stall
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -43,9 +43,9 @@
 	_, versionField := r.server.options.CallerProtocol.WeightsVersion()
 	// If the caller resumes a kept turn, engines are asked for the whole stream. The continuation
 	// alone must not be stored: later prompts would contain it as the whole turn.
-	call.FromStart = r.route.Repeatable() && r.route.Kept() && r.caller.LastEvent != ""
+	call.FromStart = r.route.Repeatable() && r.route.StoreTurns() && r.caller.LastEvent != ""
 	s := &stream{request: r, sse: eventstream.New(eventstream.Options{
-		Resumable: r.route.Repeatable(), KeepOutput: r.route.Kept(), LastEvent: r.caller.LastEvent, FromStart: call.FromStart,
+		Resumable: r.route.Repeatable(), KeepOutput: r.route.StoreTurns(), LastEvent: r.caller.LastEvent, FromStart: call.FromStart,
 		VersionField: versionField,
 	})}
 	if r.route.Repeatable() {
@@ -58,7 +58,7 @@
 	// Store the turn only if the stream is complete: the status is that of the first attempt, and
 	// the rest may be missing.
 	complete := err == nil && s.sse.State() == eventstream.Complete
-	if complete && r.route.Kept() && r.status < http.StatusMultipleChoices {
+	if complete && r.route.StoreTurns() && r.status < http.StatusMultipleChoices {
 		err = s.storeTurn()
 	} else {
 		r.settle(s.generatedTokens())
@@ -150,9 +150,9 @@
 	s.sse.Interrupt()
 	var mismatch *eventstream.ErrMismatch
 	if errors.As(cause, &mismatch) {
-		return dispatch.BrokenByCaller(!s.sse.CanResume(), cause)
+		return dispatch.MismatchError(!s.sse.CanResume(), cause)
 	}
-	return dispatch.Broken(!s.sse.CanResume(), cause)
+	return dispatch.ResponseError(!s.sse.CanResume(), cause)
 }
 
 // LastEvent implements dispatch.Resumable.
