--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -146,7 +146,7 @@
 	defer ticker.Stop()
 	for {
 		if s.speaks() {
-			sink.Contact()
+			sink.Synced()
 		}
 		select {
 		case <-ctx.Done():
@@ -224,7 +224,7 @@
 	node := &testNode{address: listener.Addr().String(), source: &recordingSource{}, heard: make(map[string]int64)}
 	node.network = transport.New(transport.Options{Cluster: "test", NodeID: node.address, Address: node.address, Logger: events.Discard()})
 	options := Options{
-		Self: Feed{Address: node.address}, Source: node.source, StaleAfter: time.Second, OnChange: node.onChange,
+		Self: Endpoint{Address: node.address}, Source: node.source, StaleAfter: time.Second, OnChange: node.onChange,
 	}
 	complete(&options)
 	node.manager = NewManager(options, node.network, events.Discard())
--- a/internal/catalog/feeds.go
+++ b/internal/catalog/feeds.go
@@ -16,8 +16,8 @@
 	offerHeldFor = 3 * time.Second
 )
 
-// Feed is a node that serves its catalog to others.
-type Feed struct {
+// Endpoint is a node that serves its catalog to others.
+type Endpoint struct {
 	Address string `json:"a"`
 	Zone    string `json:"z"`
 }
@@ -25,12 +25,12 @@
 // feeds are the nodes that follow this one and serve their catalog in turn. Readers of the store send their
 // followers there: a listing of thousands of engines, and each change, goes out of a reader once for each
 // feed instead of once for each gateway. It is not safe for concurrent use.
-type feeds struct{ heardAt map[Feed]time.Time }
+type feeds struct{ heardAt map[Endpoint]time.Time }
 
-func newFeeds() *feeds { return &feeds{heardAt: make(map[Feed]time.Time)} }
+func newFeeds() *feeds { return &feeds{heardAt: make(map[Endpoint]time.Time)} }
 
 // heard notes that a feed follows this node.
-func (f *feeds) heard(now time.Time, feed Feed) { f.heardAt[feed] = now }
+func (f *feeds) heard(now time.Time, feed Endpoint) { f.heardAt[feed] = now }
 
 // choose returns up to count feeds in a zone for a follower. Followers are spread over the feeds by rendezvous
 // hashing, so that few of them move when a feed comes or goes.
--- a/internal/catalog/feeds_test.go
+++ b/internal/catalog/feeds_test.go
@@ -30,7 +30,7 @@
 		options.FollowAll = true
 		options.Peers = readers
 		options.Self.Zone = "near"
-		options.Serves = func() bool { return true }
+		options.IsMirror = func() bool { return true }
 	})
 	gateway := startNodeWith(t, func(options *Options) {
 		options.Peers = readers
@@ -60,9 +60,9 @@
 	known := newFeeds()
 	const feedCount, followerCount = 4, 200
 	for index := range feedCount {
-		known.heard(now, Feed{Address: fmt.Sprint("feed-", index), Zone: "near"})
+		known.heard(now, Endpoint{Address: fmt.Sprint("feed-", index), Zone: "near"})
 	}
-	known.heard(now, Feed{Address: "other", Zone: "far"})
+	known.heard(now, Endpoint{Address: "other", Zone: "far"})
 	chosen := make(map[string]string)
 	counts := make(map[string]int)
 	for index := range followerCount {
@@ -78,7 +78,7 @@
 	}
 	later := now.Add(feedHeardFor + time.Second)
 	for index := range feedCount - 1 {
-		known.heard(later, Feed{Address: fmt.Sprint("feed-", index), Zone: "near"})
+		known.heard(later, Endpoint{Address: fmt.Sprint("feed-", index), Zone: "near"})
 	}
 	for follower, before := range chosen {
 		feeds := known.choose(later, "near", follower, 2)
@@ -120,7 +120,7 @@
 
 // As many fresh peers are followed as are needed, whichever they are; all, while there are fewer.
 func TestAsManyFreshPeersAsAreNeeded(t *testing.T) {
-	manager := &Manager{followers: make(map[string]*follower), options: Options{StaleAfter: time.Second, Need: func() int { return 2 }}}
+	manager := &Manager{followers: make(map[string]*follower), options: Options{StaleAfter: time.Second, MinFreshPeers: func() int { return 2 }}}
 	peers := []string{"a", "b", "c", "d"}
 	now := time.Now()
 	manager.freshAt = now.Add(startPatience)
@@ -143,7 +143,7 @@
 
 // A node that has just started, and finds no peer soon, reads the store at once: until then it can serve nobody.
 func TestStartReadsTheStoreSoon(t *testing.T) {
-	manager := &Manager{followers: make(map[string]*follower), options: Options{StaleAfter: time.Second, Need: func() int { return 2 }}}
+	manager := &Manager{followers: make(map[string]*follower), options: Options{StaleAfter: time.Second, MinFreshPeers: func() int { return 2 }}}
 	peers := []string{"a", "b", "c"}
 	now := time.Now()
 	manager.freshAt = now.Add(startPatience)
@@ -186,7 +186,7 @@
 	reader := startNode(t, true, none)
 	follower := startNodeWith(t, func(options *Options) {
 		options.Peers = func() []string { return []string{cut.address, reader.address} }
-		options.Need = func() int { return 2 }
+		options.MinFreshPeers = func() int { return 2 }
 	})
 	eventually(t, "both are followed", func() bool {
 		return reader.source.active() && follower.follows(cut.address) && follower.follows(reader.address)
@@ -249,7 +249,7 @@
 func TestOutageIsTold(t *testing.T) {
 	var told []time.Time
 	manager := &Manager{contacted: make(chan struct{}), options: Options{
-		StaleAfter: time.Second, OnOutage: func(since time.Time) { told = append(told, since) },
+		StaleAfter: time.Second, OnOutageEnd: func(since time.Time) { told = append(told, since) },
 	}}
 	now := time.Now()
 	manager.noteContact(now)
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -59,7 +59,7 @@
 	// Feeds is how many feeds the asker would follow.
 	Feeds int `json:"n,omitempty"`
 	// Feed is set by a node that serves its catalog to others.
-	Feed *Feed `json:"f,omitempty"`
+	Feed *Endpoint `json:"f,omitempty"`
 }
 
 type followAnswer struct {
@@ -149,7 +149,7 @@
 	m.noteContact(self.contactAt)
 }
 
-func (m *Manager) serves() bool { return m.options.Serves != nil && m.options.Serves() }
+func (m *Manager) serves() bool { return m.options.IsMirror != nil && m.options.IsMirror() }
 
 func (m *Manager) serveFollow(ctx context.Context, from transport.Peer, request followRequest) (followAnswer, error) {
 	arrivedAt := time.Now()
--- a/internal/catalog/large_test.go
+++ b/internal/catalog/large_test.go
@@ -20,7 +20,7 @@
 	third := startNode(t, true, func() []string { return []string{first.address} })
 	follower := startNodeWith(t, func(options *Options) {
 		options.Peers = func() []string { return []string{first.address, second.address, third.address} }
-		options.Need = func() int { return 3 }
+		options.MinFreshPeers = func() int { return 3 }
 	})
 	eventually(t, "all three are followed", func() bool {
 		return first.source.active() && follower.follows(first.address) && follower.follows(second.address) && follower.follows(third.address)
--- a/internal/catalog/manager.go
+++ b/internal/catalog/manager.go
@@ -37,8 +37,8 @@
 	Apply(entries []Entry)
 	// ApplyListing takes all entries of a kind as they were at a revision; others are gone.
 	ApplyListing(kind string, entries []Entry, revision int64)
-	// Contact says that the source answered just now and that nothing older is outstanding.
-	Contact()
+	// Synced says that the source answered just now and that nothing older is outstanding.
+	Synced()
 }
 
 // Source follows the store.
@@ -51,15 +51,15 @@
 type Options struct {
 	// Peers returns the addresses of nodes that serve their catalog, the preferred ones first.
 	Peers func() []string
-	// FollowAll follows all peers; otherwise only as many as it takes to have Need fresh ones.
+	// FollowAll follows all peers; otherwise only as many as it takes to have MinFreshPeers fresh ones.
 	FollowAll bool
-	// Need returns how many fresh peers to follow; nil stands for one. A peer that is cut off from the store without
+	// MinFreshPeers returns how many fresh peers to follow; nil stands for one. A peer that is cut off from the store without
 	// knowing it looks fresh for a while. With one peer more than may be lost at once, changes come all the same.
-	Need func() int
+	MinFreshPeers func() int
 	// Self is where this node is, and its zone; a node that serves nobody needs only the zone.
-	Self Feed
-	// Serves tells whether gateways are to follow this node instead of those that it follows. Nil stands for never.
-	Serves func() bool
+	Self Endpoint
+	// IsMirror tells whether gateways are to follow this node instead of those that it follows. Nil stands for never.
+	IsMirror func() bool
 	// ReadsStore tells whether this node follows the Source at all times; others do so only while no peer is
 	// fresh. Nil stands for never.
 	ReadsStore func() bool
@@ -72,9 +72,9 @@
 	// OnChange hears changed entries, one at a time. Of each entry it hears rising revisions, the newest at last; those
 	// that were overtaken may be left out. It must not block, nor change the Manager.
 	OnChange func(Entry)
-	// OnOutage hears, once the store is heard of again, since when it had not been, if that was longer ago than
+	// OnOutageEnd hears, once the store is heard of again, since when it had not been, if that was longer ago than
 	// StaleAfter. It must not block. It may be nil.
-	OnOutage func(since time.Time)
+	OnOutageEnd func(since time.Time)
 }
 
 // Manager keeps a State up to date and serves it to peers. All methods may be called concurrently.
@@ -251,10 +251,10 @@
 }
 
 func (m *Manager) need() int {
-	if m.options.Need == nil {
+	if m.options.MinFreshPeers == nil {
 		return 1
 	}
-	return max(m.options.Need(), 1)
+	return max(m.options.MinFreshPeers(), 1)
 }
 
 // fresh tells whether a peer had read the store a short while ago, or heard from somebody who had.
@@ -334,8 +334,8 @@
 	return m.state.Revision(entry.Key) > entry.Revision
 }
 
-// Contact implements Sink.
-func (m *Manager) Contact() {
+// Synced implements Sink.
+func (m *Manager) Synced() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
@@ -349,8 +349,8 @@
 	if !at.After(m.contactAt) {
 		return
 	}
-	if before := m.contactAt; m.options.OnOutage != nil && !before.IsZero() && at.Sub(before) > m.options.StaleAfter {
-		m.options.OnOutage(before)
+	if before := m.contactAt; m.options.OnOutageEnd != nil && !before.IsZero() && at.Sub(before) > m.options.StaleAfter {
+		m.options.OnOutageEnd(before)
 	}
 	m.contactAt = at
 	close(m.contacted)
--- a/internal/catalog/missed_test.go
+++ b/internal/catalog/missed_test.go
@@ -25,7 +25,7 @@
 				sink.ApplyListing(EngineKind, nil, 12)
 				listed = true
 			}
-			sink.Contact()
+			sink.Synced()
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/conversation/sheet.go
+++ b/internal/conversation/chargelist.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ChargeSheet is what one program was charged, as replicas tell it with each opening of a turn. On the wire it is one
+// ChargeList is what one program was charged, as replicas tell it with each opening of a turn. On the wire it is one
 // text, each charge's name, a colon and its tokens, with an exclamation mark behind those that are settled, separated by
 // commas. The program is not told, for whoever asks knows it, nor are engines. As a list of Charge it took 85 bytes for each
 // turn of a program instead of 16, and was half of all bytes between gateways and replicas.
-type ChargeSheet []Charge
+type ChargeList []Charge
 
 const (
 	chargeSeparator = ","
@@ -19,18 +19,18 @@
 	settledMark     = "!"
 )
 
-// ErrChargeSheet means that a text is no sheet of charges, or that a charge's name can't be in one.
-type ErrChargeSheet struct{ Text string }
+// ErrChargeList means that a text is no sheet of charges, or that a charge's name can't be in one.
+type ErrChargeList struct{ Text string }
 
 // Error implements error.
-func (e *ErrChargeSheet) Error() string { return "no sheet of charges: " + strconv.Quote(e.Text) }
+func (e *ErrChargeList) Error() string { return "no sheet of charges: " + strconv.Quote(e.Text) }
 
-// MarshalText implements encoding.TextMarshaler. The error is an ErrChargeSheet.
-func (s ChargeSheet) MarshalText() ([]byte, error) {
+// MarshalText implements encoding.TextMarshaler. The error is an ErrChargeList.
+func (s ChargeList) MarshalText() ([]byte, error) {
 	var text []byte
 	for _, charge := range s {
 		if strings.ContainsAny(charge.Turn, chargeSeparator+tokensSeparator+settledMark) {
-			return nil, errors.WithStack(&ErrChargeSheet{Text: charge.Turn})
+			return nil, errors.WithStack(&ErrChargeList{Text: charge.Turn})
 		}
 		if len(text) > 0 {
 			text = append(text, chargeSeparator...)
@@ -44,8 +44,8 @@
 	return text, nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The error is an ErrChargeSheet.
-func (s *ChargeSheet) UnmarshalText(text []byte) error {
+// UnmarshalText implements encoding.TextUnmarshaler. The error is an ErrChargeList.
+func (s *ChargeList) UnmarshalText(text []byte) error {
 	*s = nil
 	if len(text) == 0 {
 		return nil
@@ -55,7 +55,7 @@
 		amount, settled := strings.CutSuffix(amount, settledMark)
 		tokens, err := strconv.ParseInt(amount, 10, 64)
 		if !found || err != nil {
-			return errors.WithStack(&ErrChargeSheet{Text: part})
+			return errors.WithStack(&ErrChargeList{Text: part})
 		}
 		*s = append(*s, Charge{Turn: name, Tokens: tokens, Settled: settled})
 	}
--- a/internal/conversation/conversation.go
+++ b/internal/conversation/conversation.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// Knows reports whether the state has this version of a record, or a later one.
-func (s *State) Knows(key Key) bool {
+// Has reports whether the state has this version of a record, or a later one.
+func (s *State) Has(key Key) bool {
 	if !key.Charge {
 		return s.turns[key.Turn] != nil
 	}
@@ -186,8 +186,8 @@
 	return found && (settled || !key.Settled)
 }
 
-// Holds reports whether the state has exactly this version of a record.
-func (s *State) Holds(key Key) bool {
+// IsCurrent reports whether the state has exactly this version of a record.
+func (s *State) IsCurrent(key Key) bool {
 	if !key.Charge {
 		return s.turns[key.Turn] != nil
 	}
@@ -210,7 +210,7 @@
 
 // Apply takes a record and reports whether it was news.
 func (s *State) Apply(now time.Time, record Record) bool {
-	if s.Knows(record.Key()) {
+	if s.Has(record.Key()) {
 		return false
 	}
 	s.sequence++
--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -82,8 +82,8 @@
 			options.Network, options.Logger),
 	}
 	node.catalog = catalog.NewManager(catalog.Options{
-		Peers: node.peers, Need: node.turns.Copies, Self: catalog.Feed{Zone: options.Zone}, Source: options.Source, StaleAfter: options.StaleAfter, OnChange: node.apply,
-		FirstStart: options.FirstStart, OnOutage: registry.NoteOutage,
+		Peers: node.peers, MinFreshPeers: node.turns.Copies, Self: catalog.Endpoint{Zone: options.Zone}, Source: options.Source, StaleAfter: options.StaleAfter, OnChange: node.apply,
+		FirstStart: options.FirstStart, OnOutageEnd: registry.NoteOutage,
 	}, options.Network, options.Logger)
 	node.server = New(Options{
 		Table: node.table.Load, Settled: node.settled, Vocabulary: options.Vocabulary, Registry: node.registry, Turns: node.turns,
--- a/internal/ingress/starting_test.go
+++ b/internal/ingress/starting_test.go
@@ -30,7 +30,7 @@
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if !s.silent.Load() {
-			sink.Contact()
+			sink.Synced()
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/machinelist/fuzz_test.go
+++ b/internal/machinelist/fuzz_test.go
@@ -20,7 +20,7 @@
 			_, _ = w.Write(body)
 		}))
 		defer server.Close()
-		if _, err := NewHTTP(server.URL).List(t.Context()); err == nil && status != http.StatusOK {
+		if _, err := NewClient(server.URL).List(t.Context()); err == nil && status != http.StatusOK {
 			t.Fatalf("status %d counted as a list", status)
 		}
 	})
--- a/internal/machinelist/machinelist.go
+++ b/internal/machinelist/machinelist.go
@@ -44,19 +44,19 @@
 // Error implements error.
 func (e *ErrUnavailable) Error() string { return "machine list: " + http.StatusText(e.Status) }
 
-// HTTP reads the list as JSON.
-type HTTP struct {
+// Client reads the list as JSON.
+type Client struct {
 	endpoint string
 	client   *http.Client
 }
 
-// NewHTTP returns the adapter for a list at endpoint.
-func NewHTTP(endpoint string) *HTTP {
-	return &HTTP{endpoint: endpoint, client: &http.Client{Timeout: listTimeout}}
+// NewClient returns the adapter for a list at endpoint.
+func NewClient(endpoint string) *Client {
+	return &Client{endpoint: endpoint, client: &http.Client{Timeout: listTimeout}}
 }
 
 // List implements Lister.
-func (h *HTTP) List(ctx context.Context) ([]Machine, error) {
+func (h *Client) List(ctx context.Context) ([]Machine, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, h.endpoint, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "building the request")
--- a/internal/machinelist/machinelist_test.go
+++ b/internal/machinelist/machinelist_test.go
@@ -56,10 +56,10 @@
 	server.Set(machineserver.Machine{Address: "m1", State: machineserver.Leaving})
 	running := httptest.NewServer(server)
 	defer running.Close()
-	machines, err := NewHTTP(running.URL + machineserver.MachinesPath).List(t.Context())
+	machines, err := NewClient(running.URL + machineserver.MachinesPath).List(t.Context())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, machines, []Machine{{"m1", Leaving}})
-	_, err = NewHTTP(running.URL + "/nothing").List(t.Context())
+	_, err = NewClient(running.URL + "/nothing").List(t.Context())
 	var unavailable *ErrUnavailable
 	assert.Assert(t, errors.As(err, &unavailable), "%v", err)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -360,7 +360,7 @@
 		n.requestDrain()
 	}
 	failed := func(err error) { n.logger.Emit(events.MachineListFailed, events.F("error", err)) }
-	machinelist.Watch(ctx, machinelist.NewHTTP(n.settings.Machines.Endpoint), n.settings.Machines.Machine, leaving, failed)
+	machinelist.Watch(ctx, machinelist.NewClient(n.settings.Machines.Endpoint), n.settings.Machines.Machine, leaving, failed)
 }
 
 func (n *Node) serve(server *http.Server, listener net.Listener) {
--- a/internal/turnlog/collect.go
+++ b/internal/turnlog/collect.go
@@ -31,7 +31,7 @@
 			break
 		}
 		read += len(payload) + frameHeaderBytes
-		if l.options.Needed == nil || l.options.Needed(payload) {
+		if l.options.IsLive == nil || l.options.IsLive(payload) {
 			needed = append(needed, payload)
 		}
 	}
@@ -51,11 +51,11 @@
 		return false
 	}
 	l.collecting.kept += int64(written)
-	if l.options.Moved == nil {
+	if l.options.OnMove == nil {
 		return true
 	}
 	for index, payload := range needed {
-		l.options.Moved(payload, positions[index])
+		l.options.OnMove(payload, positions[index])
 	}
 	return true
 }
@@ -87,7 +87,7 @@
 	if os.Remove(oldest.name) != nil {
 		return
 	}
-	_ = SyncFolder(l.options.Folder)
+	_ = SyncDir(l.options.Folder)
 	l.segments = l.segments[1:]
 	l.bytes -= oldest.bytes
 	if 2*kept > oldest.bytes {
--- a/internal/turnlog/read.go
+++ b/internal/turnlog/read.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Position is where a record lies in the log. It holds until Moved is called for the record.
+// Position is where a record lies in the log. It holds until OnMove is called for the record.
 type Position struct {
 	segment int
 	offset  int64
--- a/internal/turnlog/turnlog.go
+++ b/internal/turnlog/turnlog.go
@@ -12,7 +12,7 @@
 //
 // Usage:
 //
-//	log, err := turnlog.Open(turnlog.Options{Folder: folder, Replay: ..., Needed: ...})
+//	log, err := turnlog.Open(turnlog.Options{Folder: folder, Replay: ..., IsLive: ...})
 //	go log.Run(ctx)
 //	err = log.Append(ctx, payloads, func() { ... what is durable now may be shown ... })
 package turnlog
@@ -71,13 +71,13 @@
 	Folder string
 	// Replay is called by Open for each record.
 	Replay func(payload []byte, at Position)
-	// Needed tells whether a record of an old segment must be kept. It is called from Run. Nil keeps all.
-	Needed func(payload []byte) bool
-	// Moved is called from Run when a record that is needed lies elsewhere from now on. It may be nil.
-	Moved func(payload []byte, at Position)
-	// CollectAbove is the size of the log, in bytes, from which old segments are collected; 0 stands for
+	// IsLive tells whether a record of an old segment must be kept. It is called from Run. Nil keeps all.
+	IsLive func(payload []byte) bool
+	// OnMove is called from Run when a record that is needed lies elsewhere from now on. It may be nil.
+	OnMove func(payload []byte, at Position)
+	// CompactionThreshold is the size of the log, in bytes, from which old segments are collected; 0 stands for
 	// 64 MB.
-	CollectAbove int64
+	CompactionThreshold int64
 }
 
 type appending struct {
@@ -113,7 +113,7 @@
 
 // Open reads the log in a folder.
 func Open(options Options) (*Log, error) {
-	log := &Log{options: options, queue: make(chan appending, queuedAppends), collectAbove: options.CollectAbove}
+	log := &Log{options: options, queue: make(chan appending, queuedAppends), collectAbove: options.CompactionThreshold}
 	if log.collectAbove == 0 {
 		log.collectAbove = defaultCollectAbove
 	}
@@ -137,7 +137,7 @@
 }
 
 // Append writes records and returns once they are synced. apply is called from Run when they are,
-// before anything else is written, and gets where each record lies: Needed may be asked for them at any moment from then on. After an error
+// before anything else is written, and gets where each record lies: IsLive may be called for them at any moment from then on. After an error
 // the records may or may not be in the log. While the disk stands still and many wait already, it fails at
 // once: what waits is memory, and others have the records.
 func (l *Log) Append(ctx context.Context, payloads [][]byte, apply func(at []Position)) error {
@@ -240,7 +240,7 @@
 	if err != nil {
 		return failed("create", err)
 	}
-	if err := SyncFolder(l.options.Folder); err != nil {
+	if err := SyncDir(l.options.Folder); err != nil {
 		_ = file.Close()
 		return err
 	}
@@ -256,8 +256,8 @@
 	}
 }
 
-// SyncFolder makes the names in a folder durable.
-func SyncFolder(folder string) error {
+// SyncDir makes the names in a folder durable.
+func SyncDir(folder string) error {
 	directory, err := os.Open(folder)
 	if err != nil {
 		return failed("open folder", err)
--- a/internal/turnlog/turnlog_test.go
+++ b/internal/turnlog/turnlog_test.go
@@ -21,8 +21,8 @@
 	t.Helper()
 	var replayed []string
 	log, err := Open(Options{
-		Folder: folder, Replay: func(payload []byte, _ Position) { replayed = append(replayed, string(payload)) }, Needed: needed,
-		CollectAbove: testCollectAbove,
+		Folder: folder, Replay: func(payload []byte, _ Position) { replayed = append(replayed, string(payload)) }, IsLive: needed,
+		CompactionThreshold: testCollectAbove,
 	})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -220,7 +220,7 @@
 		positions[string(payload[:8])] = at
 	}
 	needed := func(payload []byte) bool { return payload[0] == 'n' }
-	options := Options{Folder: folder, Replay: learn, Moved: learn, Needed: needed, CollectAbove: testCollectAbove}
+	options := Options{Folder: folder, Replay: learn, OnMove: learn, IsLive: needed, CompactionThreshold: testCollectAbove}
 	run := func() (*Log, func()) {
 		log, err := Open(options)
 		assert.NilError(t, err)
--- a/internal/turnstore/folder.go
+++ b/internal/turnstore/folder.go
@@ -132,5 +132,5 @@
 	if err != nil {
 		return errors.Wrap(err, "replica record")
 	}
-	return turnlog.SyncFolder(f.path)
+	return turnlog.SyncDir(f.path)
 }
--- a/internal/turnstore/messages.go
+++ b/internal/turnstore/messages.go
@@ -35,8 +35,8 @@
 	// Newer is set instead of all else if the request's epoch is old.
 	Newer *Set `json:"n,omitempty"`
 	// Complete tells whether what the replica doesn't know may be counted.
-	Complete bool                     `json:"c,omitempty"`
-	Charges  conversation.ChargeSheet `json:"q,omitempty"`
+	Complete bool                    `json:"c,omitempty"`
+	Charges  conversation.ChargeList `json:"q,omitempty"`
 	// Engine is where a turn of the program ran last, if that is known.
 	Engine  string              `json:"g,omitempty"`
 	Known   bool                `json:"k,omitempty"`
--- a/internal/turnstore/node.go
+++ b/internal/turnstore/node.go
@@ -43,8 +43,8 @@
 	}
 	node.catalog = catalog.NewManager(catalog.Options{
 		Peers: node.peers, FollowAll: true, ReadsStore: node.readsStore, Source: options.Source, StaleAfter: options.StaleAfter,
-		Self:   catalog.Feed{Address: options.Replica.Self.Address, Zone: options.Replica.Self.Zone},
-		Serves: node.servesGateways, OnChange: node.apply,
+		Self:     catalog.Endpoint{Address: options.Replica.Self.Address, Zone: options.Replica.Self.Zone},
+		IsMirror: node.servesGateways, OnChange: node.apply,
 	}, options.Network, options.Logger)
 	return node, nil
 }
--- a/internal/turnstore/pull.go
+++ b/internal/turnstore/pull.go
@@ -240,7 +240,7 @@
 	defer r.mutex.Unlock()
 	var missing []conversation.Key
 	for _, key := range keys {
-		if !r.state.Knows(key) {
+		if !r.state.Has(key) {
 			missing = append(missing, key)
 		}
 	}
--- a/internal/turnstore/replica.go
+++ b/internal/turnstore/replica.go
@@ -142,8 +142,8 @@
 	replica.restoreShard(opened.record())
 	now := time.Now()
 	replica.log, err = turnlog.Open(turnlog.Options{
-		Folder: options.Folder, CollectAbove: options.LogBytes,
-		Needed: replica.needed, Moved: replica.moved,
+		Folder: options.Folder, CompactionThreshold: options.LogBytes,
+		IsLive: replica.needed, OnMove: replica.moved,
 		Replay: func(payload []byte, at turnlog.Position) {
 			if record, valid := decodeRecord(payload); valid {
 				replica.applyOne(now, record, at)
@@ -174,7 +174,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.state.Holds(record.Key())
+	return r.state.IsCurrent(record.Key())
 }
 
 // Run writes the log, pulls from peers and keeps the replica set until the context ends.
@@ -271,7 +271,7 @@
 	var news []conversation.Record
 	r.mutex.Lock()
 	for _, record := range records {
-		if (record.Turn != nil || record.Charge != nil) && !r.state.Knows(record.Key()) {
+		if (record.Turn != nil || record.Charge != nil) && !r.state.Has(record.Key()) {
 			news = append(news, record)
 		}
 	}
