--- a/internal/conversation/chargelist.go
+++ b/internal/conversation/chargelist.go
@@ -7,30 +7,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ChargeList is what one program was charged, as replicas tell it with each opening of a turn. On the wire it is one
-// text, each charge's name, a colon and its tokens, with an exclamation mark behind those that are settled, separated by
-// commas. The program is not told, for whoever asks knows it, nor are engines. As a list of Charge it took 85 bytes for each
-// turn of a program instead of 16, and was half of all bytes between gateways and replicas.
+// ChargeList holds the charges of one program, which replicas send whenever a turn is opened. It is encoded
+// as one text, much shorter than a JSON array: the charges are separated by commas, each an ID, a colon and the
+// number of tokens, followed by an exclamation mark if it is settled. Programs and engines are not
+// encoded: the receiver has requested the charges of one program.
 type ChargeList []Charge
 
 const (
 	chargeSeparator = ","
 	tokensSeparator = ":"
-	settledMark     = "!"
+	settledSuffix   = "!"
 )
 
-// ErrChargeList means that a text is no sheet of charges, or that a charge's name can't be in one.
-type ErrChargeList struct{ Text string }
+// ErrInvalidChargeList means that a text can't be decoded as a ChargeList, or that a charge's ID can't be encoded in one.
+type ErrInvalidChargeList struct{ Text string }
 
 // Error implements error.
-func (e *ErrChargeList) Error() string { return "no sheet of charges: " + strconv.Quote(e.Text) }
+func (e *ErrInvalidChargeList) Error() string { return "invalid charge list: " + strconv.Quote(e.Text) }
 
-// MarshalText implements encoding.TextMarshaler. The error is an ErrChargeList.
-func (s ChargeList) MarshalText() ([]byte, error) {
+// MarshalText implements encoding.TextMarshaler. The error is an *ErrInvalidChargeList.
+func (c ChargeList) MarshalText() ([]byte, error) {
 	var text []byte
-	for _, charge := range s {
-		if strings.ContainsAny(charge.Turn, chargeSeparator+tokensSeparator+settledMark) {
-			return nil, errors.WithStack(&ErrChargeList{Text: charge.Turn})
+	for _, charge := range c {
+		if strings.ContainsAny(charge.Turn, chargeSeparator+tokensSeparator+settledSuffix) {
+			return nil, errors.WithStack(&ErrInvalidChargeList{Text: charge.Turn})
 		}
 		if len(text) > 0 {
 			text = append(text, chargeSeparator...)
@@ -38,26 +38,26 @@
 		text = append(append(text, charge.Turn...), tokensSeparator...)
 		text = strconv.AppendInt(text, charge.Tokens, 10)
 		if charge.Settled {
-			text = append(text, settledMark...)
+			text = append(text, settledSuffix...)
 		}
 	}
 	return text, nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The error is an ErrChargeList.
-func (s *ChargeList) UnmarshalText(text []byte) error {
-	*s = nil
+// UnmarshalText implements encoding.TextUnmarshaler. The error is an *ErrInvalidChargeList.
+func (c *ChargeList) UnmarshalText(text []byte) error {
+	*c = nil
 	if len(text) == 0 {
 		return nil
 	}
 	for _, part := range strings.Split(string(text), chargeSeparator) {
-		name, amount, found := strings.Cut(part, tokensSeparator)
-		amount, settled := strings.CutSuffix(amount, settledMark)
+		id, amount, found := strings.Cut(part, tokensSeparator)
+		amount, settled := strings.CutSuffix(amount, settledSuffix)
 		tokens, err := strconv.ParseInt(amount, 10, 64)
 		if !found || err != nil {
-			return errors.WithStack(&ErrChargeList{Text: part})
+			return errors.WithStack(&ErrInvalidChargeList{Text: part})
 		}
-		*s = append(*s, Charge{Turn: name, Tokens: tokens, Settled: settled})
+		*c = append(*c, Charge{Turn: id, Tokens: tokens, Settled: settled})
 	}
 	return nil
 }
--- a/internal/conversation/conversation.go
+++ b/internal/conversation/conversation.go
@@ -1,9 +1,9 @@
-// Package conversation is the state of one replica: the turns of conversations, and what programs
-// were charged for their turns. It is pure: it has no clock, goroutine or I/O.
+// Package conversation is the in-memory state of one replica: the turns of conversations and the
+// token charges of programs. It uses no clock, goroutines or I/O.
 //
-// A turn never changes once it is written. A charge changes once, from reserved to settled. So
-// records may be applied in any order and any number of times, and replicas that have applied the
-// same records are equal.
+// A turn is immutable once written, and a charge changes only once, from reserved to settled.
+// Applying records is therefore commutative and idempotent: replicas that applied the same set of
+// records hold the same state.
 //
 // Usage:
 //
@@ -19,48 +19,48 @@
 )
 
 const (
-	// retentionSlack is how much longer than asked turns are kept: a turn is written a little before its answer
-	// ends, and a request that continues it may wait.
+	// retentionSlack extends the requested retention of a turn, which is written shortly before its
+	// response ends and may be continued by a request that is still queued.
 	retentionSlack = 10 * time.Second
-	// chargeRetention is how long charges are kept after the last change to their program.
+	// chargeRetention is how long a program's charges are kept after the last change to any of them.
 	chargeRetention = 10 * time.Minute
-	// maximalChain bounds how many turns one conversation may have.
-	maximalChain = 10_000
+	// maxChainTurns bounds the number of turns in one conversation.
+	maxChainTurns = 10_000
 )
 
-// Turn is one turn of a conversation that was answered whole.
+// Turn is one completely answered turn of a conversation.
 type Turn struct {
 	ID       string `json:"id"`
 	Previous string `json:"previous,omitempty"`
 	Program  string `json:"program,omitempty"`
-	// Engine generated the answer and is likely to have the prompt in memory.
+	// Engine generated the response and probably has the prompt cached.
 	Engine string `json:"engine,omitempty"`
-	// Text is what this turn adds to the prompt of the next: its input, then its output.
+	// Text is this turn's input followed by its output, the part that it adds to the next turn's prompt.
 	Text Text `json:"text"`
-	// RetentionMillis is how long the turn, and all before it, may be continued.
+	// RetentionMillis is how long the turn and its predecessors are retained so that they can be continued.
 	RetentionMillis int64 `json:"retention_millis"`
 }
 
-// Charge is what a program was charged for one turn, in tokens.
+// Charge is the number of tokens that a program is charged for one attempt at a turn.
 type Charge struct {
 	Program string `json:"program"`
-	// Turn names the charge among those of its program: each try of a turn has one of its own.
+	// Turn is the charge's ID, unique within its program. Each attempt at a turn has its own.
 	Turn   string `json:"turn"`
 	Tokens int64  `json:"tokens"`
-	// Settled charges are final; others are the most that the turn may generate.
+	// Settled marks a final charge; a reserved charge is the most that the turn may generate.
 	Settled bool `json:"settled,omitempty"`
-	// Engine ran the turn, and is likely to have the program's prompts in memory. It is a hint in a settled charge, and
-	// is lost where the charge is pulled from another replica.
+	// Engine ran the turn and probably has the program's prompts cached. It is a hint, set only on settled
+	// charges and not preserved when a charge is pulled from another replica.
 	Engine string `json:"engine,omitempty"`
 }
 
-// Record is one change; one of its fields is set.
+// Record is a version of a turn or of a charge; exactly one field is set.
 type Record struct {
 	Turn   *Turn   `json:"turn,omitempty"`
 	Charge *Charge `json:"charge,omitempty"`
 }
 
-// Key names what a record is a version of.
+// Key returns the key that identifies this version of the record.
 func (r Record) Key() Key {
 	if r.Turn != nil {
 		return Key{Turn: r.Turn.ID}
@@ -68,8 +68,8 @@
 	return Key{Turn: r.Charge.Turn, Program: r.Charge.Program, Charge: true, Settled: r.Charge.Settled}
 }
 
-// Key identifies a version of a record. Replicas list the keys of all that they hold to one another, so that in JSON it is
-// one short text.
+// Key identifies a version of a record. Replicas exchange the keys of everything that they hold, so a key
+// is encoded in JSON as one short string.
 type Key struct {
 	Turn    string
 	Program string
@@ -77,54 +77,54 @@
 	Settled bool
 }
 
-// A replica holds one charge for each turn of the last ten minutes, and has little memory. So charges lie in a row
-// in their account, strings that are equal are held once, and the order of changes points to what changed
-// instead of naming it.
+// A replica with little memory holds a charge for every turn within chargeRetention. To save memory, the
+// charges of an account are stored in a slice, equal strings are interned, and changes hold
+// pointers instead of keys.
 
 type storedTurn struct {
-	turn     Turn
-	sequence uint64
-	keepTill time.Time
-	dropped  bool
+	turn      Turn
+	sequence  uint64
+	expiresAt time.Time
+	dropped   bool
 }
 
 type storedCharge struct {
-	name     string
+	id       string
 	sequence uint64
 	tokens   int64
 	settled  bool
 }
 
-// account is what one program was charged.
+// account holds the charges of one program.
 type account struct {
 	program string
 	charges []storedCharge
-	// engine ran the turn that was settled last.
-	engine   string
-	keepTill time.Time
-	dropped  bool
+	// engine is the engine named by the most recently applied charge that names one.
+	engine    string
+	expiresAt time.Time
+	dropped   bool
 }
 
-// find returns the index of a charge, or -1.
-func (a *account) find(name string) int {
-	return slices.IndexFunc(a.charges, func(stored storedCharge) bool { return stored.name == name })
+// find returns the index of the charge with an ID, or -1.
+func (a *account) find(id string) int {
+	return slices.IndexFunc(a.charges, func(stored storedCharge) bool { return stored.id == id })
 }
 
 func (a *account) charge(index int) Charge {
 	stored := a.charges[index]
-	return Charge{Program: a.program, Turn: stored.name, Tokens: stored.tokens, Settled: stored.settled}
+	return Charge{Program: a.program, Turn: stored.id, Tokens: stored.tokens, Settled: stored.settled}
 }
 
-// change is one change, at its place in the order in which this replica applied them: either of a turn, or of one
-// charge of an account.
+// change is an entry of the change log: either a turn, or one charge of an account.
 type change struct {
 	sequence uint64
 	turn     *storedTurn
 	account  *account
-	charge   int
+	// charge is an index into account.charges.
+	charge int
 }
 
-// current reports whether this is the last change of what it changed, and that is still held.
+// current reports whether the changed item is still held and has not changed since.
 func (c change) current() bool {
 	if c.turn != nil {
 		return !c.turn.dropped
@@ -132,16 +132,16 @@
 	return !c.account.dropped && c.account.charges[c.charge].sequence == c.sequence
 }
 
-// key names what the change left; the change must be current.
+// key returns the key of the changed item. The change must be current.
 func (c change) key() Key {
 	if c.turn != nil {
 		return Key{Turn: c.turn.turn.ID}
 	}
 	stored := c.account.charges[c.charge]
-	return Key{Turn: stored.name, Program: c.account.program, Charge: true, Settled: stored.settled}
+	return Key{Turn: stored.id, Program: c.account.program, Charge: true, Settled: stored.settled}
 }
 
-// record is what the change left; the change must be current.
+// record returns the changed item. The change must be current.
 func (c change) record() Record {
 	if c.turn != nil {
 		turn := c.turn.turn
@@ -152,21 +152,23 @@
 }
 
 const (
-	// orderSlack is how many overtaken changes may stay in the order, besides as many as there are current ones.
-	orderSlack = 1024
-	// mostEngineNames bounds the names of engines that are held once for all turns.
-	mostEngineNames = 4096
+	// maxStaleChanges is how many superseded changes the change log may hold in addition to
+	// as many as there are current ones.
+	maxStaleChanges = 1024
+	// maxInternedEngines bounds the interned engine names.
+	maxInternedEngines = 4096
 )
 
-// State holds turns and charges. It is not safe for concurrent use.
+// State holds the turns and charges of one replica. It is not safe for concurrent use.
 type State struct {
 	turns    map[string]*storedTurn
 	accounts map[string]*account
-	// engineNames are the names of engines, each held once.
+	// engineNames interns engine names.
 	engineNames map[string]string
-	order       []change
-	sequence    uint64
-	// charges is how many charges are held.
+	// changes is the change log, in ascending order of sequence.
+	changes  []change
+	sequence uint64
+	// charges is the number of charges in all accounts.
 	charges int
 }
 
@@ -177,7 +179,7 @@
 	}
 }
 
-// Has reports whether the state has this version of a record, or a later one.
+// Has reports whether the state holds this version of a record or a later one.
 func (s *State) Has(key Key) bool {
 	if !key.Charge {
 		return s.turns[key.Turn] != nil
@@ -186,7 +188,7 @@
 	return found && (settled || !key.Settled)
 }
 
-// IsCurrent reports whether the state has exactly this version of a record.
+// IsCurrent reports whether the state holds exactly this version of a record.
 func (s *State) IsCurrent(key Key) bool {
 	if !key.Charge {
 		return s.turns[key.Turn] != nil
@@ -195,20 +197,20 @@
 	return found && settled == key.Settled
 }
 
-// chargeState tells whether a charge is held, and whether it is settled.
+// chargeState reports whether a charge is held and whether it is settled.
 func (s *State) chargeState(key Key) (settled, found bool) {
-	known := s.accounts[key.Program]
-	if known == nil {
+	existing := s.accounts[key.Program]
+	if existing == nil {
 		return false, false
 	}
-	index := known.find(key.Turn)
+	index := existing.find(key.Turn)
 	if index < 0 {
 		return false, false
 	}
-	return known.charges[index].settled, true
+	return existing.charges[index].settled, true
 }
 
-// Apply takes a record and reports whether it was news.
+// Apply stores a record unless the state holds this or a later version of it, and reports whether it did.
 func (s *State) Apply(now time.Time, record Record) bool {
 	if s.Has(record.Key()) {
 		return false
@@ -220,90 +222,90 @@
 	} else {
 		applied.account, applied.charge = s.applyCharge(now, *record.Charge)
 	}
-	s.order = append(s.order, applied)
-	if len(s.order) > 2*(len(s.turns)+s.charges)+orderSlack {
-		s.trimOrder()
+	s.changes = append(s.changes, applied)
+	if len(s.changes) > 2*(len(s.turns)+s.charges)+maxStaleChanges {
+		s.compactChanges()
 	}
 	return true
 }
 
 func (s *State) applyTurn(now time.Time, turn Turn) *storedTurn {
-	s.shareStrings(&turn)
+	s.internStrings(&turn)
 	added := &storedTurn{turn: turn, sequence: s.sequence}
 	s.turns[turn.ID] = added
-	s.keepChain(now.Add(time.Duration(turn.RetentionMillis)*time.Millisecond+retentionSlack), turn.ID)
+	s.extendChain(now.Add(time.Duration(turn.RetentionMillis)*time.Millisecond+retentionSlack), turn.ID)
 	return added
 }
 
-// shareStrings replaces names that are held already by those that are held.
-func (s *State) shareStrings(turn *Turn) {
+// internStrings replaces the turn's strings by equal ones that are already in memory.
+func (s *State) internStrings(turn *Turn) {
 	if previous := s.turns[turn.Previous]; previous != nil {
 		turn.Previous = previous.turn.ID
 	}
-	if known := s.accounts[turn.Program]; known != nil {
-		turn.Program = known.program
+	if existing := s.accounts[turn.Program]; existing != nil {
+		turn.Program = existing.program
 	}
-	turn.Engine = s.sharedEngineName(turn.Engine)
+	turn.Engine = s.internEngineName(turn.Engine)
 }
 
-// sharedEngineName is the name as it is held already, or holds it.
-func (s *State) sharedEngineName(engine string) string {
+// internEngineName returns the interned copy of an engine name.
+func (s *State) internEngineName(engine string) string {
 	if name, found := s.engineNames[engine]; found {
 		return name
 	}
-	if len(s.engineNames) >= mostEngineNames {
+	if len(s.engineNames) >= maxInternedEngines {
 		clear(s.engineNames)
 	}
 	s.engineNames[engine] = engine
 	return engine
 }
 
-// keepChain keeps a turn and all before it, for they are a part of it.
-func (s *State) keepChain(till time.Time, id string) {
-	for range maximalChain {
-		known := s.turns[id]
-		if known == nil || !known.keepTill.Before(till) {
+// extendChain extends the retention of a turn and its predecessors, which its prompt consists of.
+func (s *State) extendChain(expiry time.Time, id string) {
+	for range maxChainTurns {
+		stored := s.turns[id]
+		if stored == nil || !stored.expiresAt.Before(expiry) {
 			return
 		}
-		known.keepTill = till
-		id = known.turn.Previous
+		stored.expiresAt = expiry
+		id = stored.turn.Previous
 	}
 }
 
 func (s *State) applyCharge(now time.Time, charge Charge) (*account, int) {
-	known := s.accounts[charge.Program]
-	if known == nil {
-		known = &account{program: charge.Program}
-		s.accounts[charge.Program] = known
+	existing := s.accounts[charge.Program]
+	if existing == nil {
+		existing = &account{program: charge.Program}
+		s.accounts[charge.Program] = existing
 	}
-	known.keepTill = now.Add(chargeRetention)
-	index := known.find(charge.Turn)
+	existing.expiresAt = now.Add(chargeRetention)
+	index := existing.find(charge.Turn)
 	if index < 0 {
-		index = len(known.charges)
-		known.charges = append(known.charges, storedCharge{name: charge.Turn})
+		index = len(existing.charges)
+		existing.charges = append(existing.charges, storedCharge{id: charge.Turn})
 		s.charges++
 	}
-	stored := &known.charges[index]
+	stored := &existing.charges[index]
 	stored.sequence = s.sequence
 	stored.tokens = charge.Tokens
 	stored.settled = charge.Settled
 	if charge.Engine != "" {
-		known.engine = s.sharedEngineName(charge.Engine)
+		existing.engine = s.internEngineName(charge.Engine)
 	}
-	return known, index
+	return existing, index
 }
 
-// Chain returns the turns from the first to id as far as they are known, and the ID of the turn
-// that is missing; it is empty if the chain is whole.
+// Chain returns the turns of a conversation up to id, oldest first. If a turn is not held, the result starts
+// after it, and missing is its ID; otherwise missing is empty.
 func (s *State) Chain(id string) (turns []Turn, missing string) {
-	for id != "" && len(turns) < maximalChain {
-		known := s.turns[id]
-		if known == nil {
+	for id != "" && len(turns) < maxChainTurns {
+		stored := s.turns[id]
+		if stored == nil {
 			missing = id
 			break
 		}
-		turns = append(turns, known.turn)
-		id = known.turn.Previous
+		turns = append(turns, stored.turn)
+		id = stored.turn.Previous
 	}
 	for left, right := 0, len(turns)-1; left < right; left, right = left+1, right-1 {
 		turns[left], turns[right] = turns[right], turns[left]
@@ -311,38 +313,39 @@
 	return turns, missing
 }
 
-// HasTurn reports whether a turn is known.
+// HasTurn reports whether the state holds a turn.
 func (s *State) HasTurn(id string) bool { return s.turns[id] != nil }
 
-// Charges returns what a program was charged.
+// Charges returns all charges of a program.
 func (s *State) Charges(program string) []Charge {
-	known := s.accounts[program]
-	if known == nil {
+	existing := s.accounts[program]
+	if existing == nil {
 		return nil
 	}
-	charges := make([]Charge, 0, len(known.charges))
-	for index := range known.charges {
-		charges = append(charges, known.charge(index))
+	charges := make([]Charge, 0, len(existing.charges))
+	for index := range existing.charges {
+		charges = append(charges, existing.charge(index))
 	}
 	return charges
 }
 
-// Engine is where a turn of the program ran last, as far as it is known; empty if it isn't.
+// Engine returns the engine that last ran a turn of the program, or the empty string if unknown.
 func (s *State) Engine(program string) string {
-	known := s.accounts[program]
-	if known == nil {
+	existing := s.accounts[program]
+	if existing == nil {
 		return ""
 	}
-	return known.engine
+	return existing.engine
 }
 
-// Sequence is the number of the last change.
+// Sequence returns the sequence number of the last change.
 func (s *State) Sequence() uint64 { return s.sequence }
 
-// KeysSince returns up to limit keys of changes after a sequence, and the sequence that they reach.
+// KeysSince returns the keys of up to limit records that changed after a sequence number, and the sequence
+// number from which to continue.
 func (s *State) KeysSince(sequence uint64, limit int) ([]Key, uint64) {
 	var keys []Key
-	for _, entry := range s.order[s.firstAfter(sequence):] {
+	for _, entry := range s.changes[s.firstChangeAfter(sequence):] {
 		if len(keys) == limit {
 			return keys, sequence
 		}
@@ -354,11 +357,11 @@
 	return keys, max(sequence, s.sequence)
 }
 
-func (s *State) firstAfter(sequence uint64) int {
-	low, high := 0, len(s.order)
+func (s *State) firstChangeAfter(sequence uint64) int {
+	low, high := 0, len(s.changes)
 	for low < high {
 		middle := (low + high) / 2
-		if s.order[middle].sequence <= sequence {
+		if s.changes[middle].sequence <= sequence {
 			low = middle + 1
 		} else {
 			high = middle
@@ -367,32 +370,32 @@
 	return low
 }
 
-// Record returns the newest version of what a key names.
+// Record returns the newest version of the record that a key identifies.
 func (s *State) Record(key Key) (Record, bool) {
 	if !key.Charge {
-		known := s.turns[key.Turn]
-		if known == nil {
+		stored := s.turns[key.Turn]
+		if stored == nil {
 			return Record{}, false
 		}
-		turn := known.turn
+		turn := stored.turn
 		return Record{Turn: &turn}, true
 	}
-	known := s.accounts[key.Program]
-	if known == nil {
+	stored := s.accounts[key.Program]
+	if stored == nil {
 		return Record{}, false
 	}
-	index := known.find(key.Turn)
+	index := stored.find(key.Turn)
 	if index < 0 {
 		return Record{}, false
 	}
-	charge := known.charge(index)
+	charge := stored.charge(index)
 	return Record{Charge: &charge}, true
 }
 
-// Records returns everything, in the order in which it was applied.
+// Records returns all records in the order in which they were applied.
 func (s *State) Records() []Record {
-	records := make([]Record, 0, len(s.order))
-	for _, entry := range s.order {
+	records := make([]Record, 0, len(s.changes))
+	for _, entry := range s.changes {
 		if entry.current() {
 			records = append(records, entry.record())
 		}
@@ -400,39 +403,39 @@
 	return records
 }
 
-// Expire drops what need not be kept any longer, and returns the IDs of the turns among it.
+// Expire drops turns and accounts whose retention has ended, and returns the IDs of the dropped turns.
 func (s *State) Expire(now time.Time) []string {
 	var dropped []string
-	for id, known := range s.turns {
-		if now.After(known.keepTill) {
-			known.dropped = true
+	for id, stored := range s.turns {
+		if now.After(stored.expiresAt) {
+			stored.dropped = true
 			delete(s.turns, id)
 			dropped = append(dropped, id)
 		}
 	}
-	for program, known := range s.accounts {
-		if now.After(known.keepTill) {
-			s.charges -= len(known.charges)
-			known.dropped = true
+	for program, stored := range s.accounts {
+		if now.After(stored.expiresAt) {
+			s.charges -= len(stored.charges)
+			stored.dropped = true
 			delete(s.accounts, program)
 		}
 	}
-	if len(s.order) > 0 && !s.order[0].current() {
-		s.trimOrder()
+	if len(s.changes) > 0 && !s.changes[0].current() {
+		s.compactChanges()
 	}
 	return dropped
 }
 
-// trimOrder drops changes that were overtaken. They are copied, so that the memory of those before is given back.
-func (s *State) trimOrder() {
+// compactChanges drops superseded changes. It copies the rest into a new slice to release their memory.
+func (s *State) compactChanges() {
 	kept := make([]change, 0, len(s.turns)+s.charges)
-	for _, entry := range s.order {
+	for _, entry := range s.changes {
 		if entry.current() {
 			kept = append(kept, entry)
 		}
 	}
-	s.order = kept
+	s.changes = kept
 }
 
-// Size returns how many turns and programs are held.
+// Size returns the number of turns, and of programs that have charges.
 func (s *State) Size() (turns, programs int) { return len(s.turns), len(s.accounts) }
--- a/internal/conversation/conversation_test.go
+++ b/internal/conversation/conversation_test.go
@@ -19,7 +19,7 @@
 	return Record{Charge: &Charge{Program: program, Turn: turn, Tokens: tokens, Settled: settled}}
 }
 
-// fingerprint is all that readers can see of a state.
+// fingerprint returns the records of a state in an order that does not depend on how they were applied.
 func fingerprint(state *State) []string {
 	var lines []string
 	for _, record := range state.Records() {
@@ -33,8 +33,8 @@
 	return lines
 }
 
-// Replicas that have applied the same records, in any order and any number of times, are equal.
-func TestRecordsNeedNoOrder(t *testing.T) {
+// Replicas converge when they apply the same records in any order and any number of times.
+func TestApplyIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Record
 		for index := range rapid.IntRange(1, 12).Draw(t, "turns") {
@@ -60,8 +60,8 @@
 	})
 }
 
-// A peer that pulls by keys, from any point on and in any steps, ends with everything.
-func TestKeysSinceMissNothing(t *testing.T) {
+// Pulling page by page while the source changes must not miss a record.
+func TestKeysSinceMissesNoRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		source, puller := New(), New()
@@ -112,7 +112,7 @@
 	assert.Equal(t, missing, "nothing")
 }
 
-// A turn that is continued keeps all before it, however old these are; then everything is dropped.
+// Continuing a turn extends the retention of its predecessors; after it, nothing is left.
 func TestRetention(t *testing.T) {
 	state := New()
 	start := time.Now()
@@ -128,30 +128,30 @@
 	assert.Equal(t, programs, 0)
 	assert.Equal(t, state.charges, 0)
 	assert.Equal(t, len(state.Records()), 0)
-	assert.Equal(t, len(state.order), 0)
+	assert.Equal(t, len(state.changes), 0)
 }
 
-func TestSettledChargesStay(t *testing.T) {
+func TestSettledChargeIsFinal(t *testing.T) {
 	state := New()
 	now := time.Now()
 	assert.Assert(t, state.Apply(now, charge("p", "a", 4, true)))
-	assert.Assert(t, !state.Apply(now, charge("p", "a", 99, false)), "a late reservation must not undo the settlement")
+	assert.Assert(t, !state.Apply(now, charge("p", "a", 99, false)), "a late reservation must not replace a settled charge")
 	assert.DeepEqual(t, state.Charges("p"), []Charge{{Program: "p", Turn: "a", Tokens: 4, Settled: true}})
 	assert.Equal(t, len(state.Charges("q")), 0)
 }
 
-// A replica with 82 MB holds the charges of ten minutes; the bound is a third below what maps of single charges took.
-func TestChargesTakeLittleMemory(t *testing.T) {
-	const programs, turnsOfProgram, mostBytesOfTurn = 6000, 5, 320
+// Bounds the memory for each turn: a small replica must hold all charges within chargeRetention.
+func TestMemoryPerTurn(t *testing.T) {
+	const programs, turnsPerProgram, maxBytesPerTurn = 6000, 5, 320
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	state := New()
 	now := time.Now()
 	for program := range programs {
-		for turn := range turnsOfProgram {
-			number := program*turnsOfProgram + turn
-			// Each record comes with strings of its own, as from the network.
+		for turn := range turnsPerProgram {
+			number := program*turnsPerProgram + turn
+			// Each record has its own copies of the strings, as when decoded from the network.
 			name := func() string { return fmt.Sprintf("a573d82b6476%05d", program) }
 			charge := func() string { return fmt.Sprintf("3w5e1126%05d", number) }
 			state.Apply(now, Record{Charge: &Charge{Program: name(), Turn: charge(), Tokens: 288}})
@@ -166,7 +166,7 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	bytesOfTurn := float64(after.HeapAlloc-before.HeapAlloc) / (programs * turnsOfProgram)
-	assert.Assert(t, bytesOfTurn < mostBytesOfTurn, "%.0f bytes", bytesOfTurn)
-	assert.Equal(t, len(state.Charges("a573d82b647600000")), turnsOfProgram)
+	bytesPerTurn := float64(after.HeapAlloc-before.HeapAlloc) / (programs * turnsPerProgram)
+	assert.Assert(t, bytesPerTurn < maxBytesPerTurn, "%.0f bytes per turn", bytesPerTurn)
+	assert.Equal(t, len(state.Charges("a573d82b647600000")), turnsPerProgram)
 }
--- a/internal/conversation/key.go
+++ b/internal/conversation/key.go
@@ -7,21 +7,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The first character of a key's text says what it is a version of.
+// The first character of an encoded key is the kind of its record.
 const (
 	turnKey     = 't'
 	reservedKey = 'r'
 	settledKey  = 's'
 )
 
-// ErrKey means that a text is no key.
-type ErrKey struct{ Text string }
+// ErrInvalidKey means that a text can't be decoded as a Key.
+type ErrInvalidKey struct{ Text string }
 
 // Error implements error.
-func (e *ErrKey) Error() string { return "no key of a record: " + strconv.Quote(e.Text) }
+func (e *ErrInvalidKey) Error() string { return "invalid record key: " + strconv.Quote(e.Text) }
 
-// MarshalText implements encoding.TextMarshaler: the kind, and for a charge the length of its name, a colon, the name and
-// the program.
+// MarshalText implements encoding.TextMarshaler. A turn is encoded as its kind and its ID; a charge as its
+// kind, the length of its ID in bytes, a colon, its ID and its program.
 func (k Key) MarshalText() ([]byte, error) {
 	if !k.Charge {
 		return append([]byte{turnKey}, k.Turn...), nil
@@ -35,21 +35,21 @@
 	return append(text, k.Program...), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The error is an ErrKey.
+// UnmarshalText implements encoding.TextUnmarshaler. The error is an *ErrInvalidKey.
 func (k *Key) UnmarshalText(text []byte) error {
 	if len(text) == 0 {
-		return errors.WithStack(&ErrKey{})
+		return errors.WithStack(&ErrInvalidKey{})
 	}
 	kind, rest := text[0], string(text[1:])
 	if kind == turnKey {
 		*k = Key{Turn: rest}
 		return nil
 	}
-	length, names, found := strings.Cut(rest, ":")
+	length, ids, found := strings.Cut(rest, ":")
 	size, err := strconv.Atoi(length)
-	if !found || err != nil || size < 0 || size > len(names) || (kind != reservedKey && kind != settledKey) {
-		return errors.WithStack(&ErrKey{Text: string(text)})
+	if !found || err != nil || size < 0 || size > len(ids) || (kind != reservedKey && kind != settledKey) {
+		return errors.WithStack(&ErrInvalidKey{Text: string(text)})
 	}
-	*k = Key{Turn: names[:size], Program: names[size:], Charge: true, Settled: kind == settledKey}
+	*k = Key{Turn: ids[:size], Program: ids[size:], Charge: true, Settled: kind == settledKey}
 	return nil
 }
--- a/internal/conversation/key_test.go
+++ b/internal/conversation/key_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestKeyGoesThroughJSON(t *testing.T) {
+func TestKeyJSONRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := Key{Turn: rapid.String().Draw(t, "turn"), Charge: rapid.Bool().Draw(t, "charge")}
 		if key.Charge {
@@ -22,15 +22,15 @@
 		assert.NilError(t, json.Unmarshal(encoded, &decoded))
 		assert.DeepEqual(t, decoded, []Key{key})
 	})
-	for _, damaged := range []string{"", "x1:ab", "r:ab", "r-1:ab", "s3:ab", "s2ab"} {
+	for _, invalid := range []string{"", "x1:ab", "r:ab", "r-1:ab", "s3:ab", "s2ab"} {
 		var key Key
-		var failed *ErrKey
-		assert.Assert(t, errors.As(key.UnmarshalText([]byte(damaged)), &failed), damaged)
+		var target *ErrInvalidKey
+		assert.Assert(t, errors.As(key.UnmarshalText([]byte(invalid)), &target), invalid)
 	}
 }
 
-// Members list the keys of each turn to one another: in JSON's own form one took 62 bytes.
-func TestKeyIsShort(t *testing.T) {
+// Replicas exchange the keys of every turn, so the encoding must stay short.
+func TestKeyEncodedSize(t *testing.T) {
 	encoded, err := json.Marshal(Key{Turn: "3w5e11264s", Program: "cbdcab16898a11", Charge: true, Settled: true})
 	assert.NilError(t, err)
 	assert.Assert(t, len(encoded) <= 30, "%d bytes: %s", len(encoded), encoded)
--- a/internal/conversation/text.go
+++ b/internal/conversation/text.go
@@ -8,51 +8,51 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Text is the text of a turn, any bytes. Texts are most of what replicas and gateways send each other, and
-// base64, which JSON has for bytes, would make them a third longer. So a text that is valid UTF-8 is sent as
-// a JSON string; the first character tells the form.
+// Text is the text of a turn; it may hold arbitrary bytes. Texts are most of the traffic between replicas and
+// gateways, so valid UTF-8 is encoded as a plain JSON string rather than in base64, which is a third longer.
+// The first character of the string is the encoding.
 type Text []byte
 
 const (
-	plainForm  = '='
-	base64Form = '+'
+	plainPrefix  = '='
+	base64Prefix = '+'
 )
 
-// ErrText means that a JSON string is no Text.
-type ErrText struct{ Form string }
+// ErrTextEncoding means that an encoded Text starts with an unknown prefix.
+type ErrTextEncoding struct{ Prefix string }
 
 // Error implements error.
-func (e *ErrText) Error() string { return "a text has the unknown form " + e.Form }
+func (e *ErrTextEncoding) Error() string { return "unknown text encoding " + e.Prefix }
 
 // MarshalJSON implements json.Marshaler.
 func (t Text) MarshalJSON() ([]byte, error) {
 	if utf8.Valid(t) {
-		return json.Marshal(string(plainForm) + string(t))
+		return json.Marshal(string(plainPrefix) + string(t))
 	}
-	return json.Marshal(string(base64Form) + base64.StdEncoding.EncodeToString(t))
+	return json.Marshal(string(base64Prefix) + base64.StdEncoding.EncodeToString(t))
 }
 
-// UnmarshalJSON implements json.Unmarshaler. The error is an ErrText for an unknown form.
+// UnmarshalJSON implements json.Unmarshaler. The error is an *ErrTextEncoding if the prefix is unknown.
 func (t *Text) UnmarshalJSON(data []byte) error {
 	var encoded string
 	if err := json.Unmarshal(data, &encoded); err != nil {
-		return errors.Wrap(err, "text")
+		return errors.Wrap(err, "decoding a text")
 	}
 	if encoded == "" {
 		*t = nil
 		return nil
 	}
 	switch encoded[0] {
-	case plainForm:
+	case plainPrefix:
 		*t = Text(encoded[1:])
-	case base64Form:
+	case base64Prefix:
 		decoded, err := base64.StdEncoding.DecodeString(encoded[1:])
 		if err != nil {
-			return errors.Wrap(err, "text")
+			return errors.Wrap(err, "decoding a text")
 		}
 		*t = decoded
 	default:
-		return errors.WithStack(&ErrText{Form: encoded[:1]})
+		return errors.WithStack(&ErrTextEncoding{Prefix: encoded[:1]})
 	}
 	return nil
 }
--- a/internal/conversation/text_test.go
+++ b/internal/conversation/text_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func FuzzTextComesBack(f *testing.F) {
+func FuzzTextRoundTrip(f *testing.F) {
 	f.Add([]byte("plain {\"text\"}\n\u2028<b>"))
 	f.Add([]byte{0xff, 0, 1})
 	f.Add([]byte{})
@@ -21,18 +21,18 @@
 	})
 }
 
-// A text of ordinary characters grows by its quotes and its form, not by a third.
-func TestPlainTextIsNotMadeLonger(t *testing.T) {
+// Valid UTF-8 is not encoded in base64.
+func TestPlainTextEncoding(t *testing.T) {
 	encoded, err := json.Marshal(Text("an ordinary text"))
 	assert.NilError(t, err)
 	assert.Equal(t, string(encoded), `"=an ordinary text"`)
 }
 
-func TestTextOfUnknownFormIsRefused(t *testing.T) {
+func TestInvalidTextEncoding(t *testing.T) {
 	var text Text
 	err := json.Unmarshal([]byte(`"?x"`), &text)
-	var failure *ErrText
-	assert.Assert(t, errors.As(err, &failure))
+	var target *ErrTextEncoding
+	assert.Assert(t, errors.As(err, &target))
 	assert.Assert(t, json.Unmarshal([]byte(`"+!"`), &text) != nil)
 	assert.Assert(t, json.Unmarshal([]byte(`7`), &text) != nil)
 }
