--- a/internal/turnlog/frame.go
+++ b/internal/turnlog/frame.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// A frame is the length of a record and its checksum (four bytes each, little endian), then the record.
+	// A frame is the length and the checksum of a record (four bytes each, little endian) and the record itself.
 	frameHeaderBytes = 8
-	maximalFrame     = 32 << 20
+	maxRecordBytes   = 32 << 20
 	readBufferBytes  = 64 << 10
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-type damagedFrame struct{}
+// errCorruptFrame means that a frame has an invalid length or checksum.
+type errCorruptFrame struct{}
 
 // Error implements error.
-func (damagedFrame) Error() string { return "a record is damaged" }
+func (errCorruptFrame) Error() string { return "corrupt record" }
 
 func readFrame(reader io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
@@ -28,30 +29,31 @@
 		return nil, err
 	}
 	length := binary.LittleEndian.Uint32(header[:4])
-	if length == 0 || length > maximalFrame {
-		return nil, damagedFrame{}
+	if length == 0 || length > maxRecordBytes {
+		return nil, errCorruptFrame{}
 	}
 	payload := make([]byte, length)
 	if _, err := io.ReadFull(reader, payload); err != nil {
 		return nil, err
 	}
-	if crc32.Checksum(payload, checksums) != binary.LittleEndian.Uint32(header[4:]) {
-		return nil, damagedFrame{}
+	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(header[4:]) {
+		return nil, errCorruptFrame{}
 	}
 	return payload, nil
 }
 
 func appendFrame(buffer, payload []byte) []byte {
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(payload)))
-	buffer = binary.LittleEndian.AppendUint32(buffer, crc32.Checksum(payload, checksums))
+	buffer = binary.LittleEndian.AppendUint32(buffer, crc32.Checksum(payload, castagnoli))
 	return append(buffer, payload...)
 }
 
-// replaySegment reads records up to the first damaged one; those behind it were never acknowledged.
+// replaySegment replays the records up to the first truncated or corrupt one and returns their size in bytes.
+// Anything after that was never acknowledged.
 func replaySegment(name string, number int, replay func([]byte, Position)) (int64, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return 0, failed("open", err)
+		return 0, wrapError("open", err)
 	}
 	defer file.Close()
 	reader := bufio.NewReaderSize(file, readBufferBytes)
--- a/internal/turnlog/read.go
+++ b/internal/turnlog/read.go
@@ -8,65 +8,66 @@
 	"sync"
 )
 
-// Position is where a record lies in the log. It holds until OnMove is called for the record.
+// Position locates a record in the log. It is valid until OnMove is called for the record.
 type Position struct {
 	segment int
 	offset  int64
 	length  int
 }
 
-// readers are the open files of segments that were read from.
-type readers struct {
+// fileCache holds open files of segments for reading.
+type fileCache struct {
 	mutex sync.Mutex
+	// files are keyed by segment number.
 	files map[int]*os.File
 }
 
-func (r *readers) open(folder string, number int) (*os.File, error) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if file := r.files[number]; file != nil {
+func (c *fileCache) open(dir string, number int) (*os.File, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if file := c.files[number]; file != nil {
 		return file, nil
 	}
-	file, err := os.Open(filepath.Join(folder, fmt.Sprintf(segmentPattern, number)))
+	file, err := os.Open(filepath.Join(dir, fmt.Sprintf(segmentPattern, number)))
 	if err != nil {
 		return nil, err
 	}
-	if r.files == nil {
-		r.files = make(map[int]*os.File)
+	if c.files == nil {
+		c.files = make(map[int]*os.File)
 	}
-	r.files[number] = file
+	c.files[number] = file
 	return file, nil
 }
 
-func (r *readers) drop(number int) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if file := r.files[number]; file != nil {
+func (c *fileCache) drop(number int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if file := c.files[number]; file != nil {
 		_ = file.Close()
-		delete(r.files, number)
+		delete(c.files, number)
 	}
 }
 
-func (r *readers) close() {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for number, file := range r.files {
+func (c *fileCache) close() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for number, file := range c.files {
 		_ = file.Close()
-		delete(r.files, number)
+		delete(c.files, number)
 	}
 }
 
-// Read returns a record that was written. It may be called concurrently. The error is an ErrLog; it also
-// comes if the record was moved meanwhile, and then its new position is known already.
-func (l *Log) Read(at Position) ([]byte, error) {
-	file, err := l.readers.open(l.options.Folder, at.segment)
+// Read returns the record at a position. It may be called concurrently. The error is an *ErrLog. Read may fail
+// because the record was moved in the meantime; OnMove has then already been called with its new position.
+func (l *Log) Read(position Position) ([]byte, error) {
+	file, err := l.fileCache.open(l.options.Folder, position.segment)
 	if err != nil {
-		return nil, failed("read", err)
+		return nil, wrapError("read", err)
 	}
-	frame := make([]byte, frameHeaderBytes+at.length)
-	if _, err := file.ReadAt(frame, at.offset); err != nil {
-		return nil, failed("read", err)
+	frame := make([]byte, frameHeaderBytes+position.length)
+	if _, err := file.ReadAt(frame, position.offset); err != nil {
+		return nil, wrapError("read", err)
 	}
 	payload, err := readFrame(bytes.NewReader(frame))
-	return payload, failed("read", err)
+	return payload, wrapError("read", err)
 }
--- a/internal/turnlog/turnlog.go
+++ b/internal/turnlog/turnlog.go
@@ -1,20 +1,20 @@
-// Package turnlog is an append-only log on a small disk. Append returns once its records are synced;
-// appends that come while a sync runs share the next one. Each record has a checksum, and a torn
-// end of the log, as a loss of power leaves it, is cut off when the log is opened.
+// Package turnlog is an append-only log with group commit: Append returns once its records are synced, and
+// appends that arrive during a sync share the next one. Each record has a checksum. A torn write at the end of
+// a segment, as left by a power failure, is ignored when the log is opened.
 //
-// The log is a row of segments. Once it is large, the oldest segment is read again, a little with each
-// write; what is still needed of it is appended once more, and the segment is removed. So no write waits for
-// a whole log to be rewritten, and no more than a small part of it is in memory. Records may come back in
-// another order than they were written in, and more than once.
+// The log consists of segments. Once it exceeds a threshold, it is compacted incrementally: after each write, a
+// part of the oldest segment is read and its live records are appended again; then the segment is removed.
+// No write waits for the whole log to be rewritten, and only a small part of the log is in memory.
+// Records may be replayed in a different order than they were written, and more than once.
 //
-// A file is never written again after a failure: what reached the disk then is not known, so the
-// log goes on in a new file.
+// A file is never written again after a write error, because it is unknown what reached the disk; the log
+// continues in a new segment.
 //
 // Usage:
 //
-//	log, err := turnlog.Open(turnlog.Options{Folder: folder, Replay: ..., IsLive: ...})
+//	log, err := turnlog.Open(turnlog.Options{Folder: dir, Replay: ..., IsLive: ...})
 //	go log.Run(ctx)
-//	err = log.Append(ctx, payloads, func() { ... what is durable now may be shown ... })
+//	err = log.Append(ctx, payloads, func(positions []turnlog.Position) { ... the records are durable ... })
 package turnlog
 
 import (
@@ -31,16 +31,16 @@
 const (
 	segmentPattern = "turns-%08d.log"
 	segmentGlob    = "turns-*.log"
-	// queuedAppends is how many appends may wait for the disk; all that wait are written together. With its record,
-	// the question that brought it and two goroutines each takes some 50 kB of a replica's memory.
-	queuedAppends = 256
-	// segmentBytes is the size from which a new segment is begun.
+	// maxQueuedAppends bounds the appends that wait for the disk, and so the memory of the requests
+	// behind them. All queued appends are written together.
+	maxQueuedAppends = 256
+	// segmentBytes is the size at which a segment is closed and a new one is started.
 	segmentBytes = 4 << 20
-	// defaultCollectAbove is the size of the log, in bytes, from which old segments are collected.
-	defaultCollectAbove = 64 << 20
+	// defaultCompactionThreshold is the default of Options.CompactionThreshold, in bytes.
+	defaultCompactionThreshold = 64 << 20
 )
 
-// ErrLog is a failure of the disk.
+// ErrLog is a wrapError operation on the log, such as a disk error, a full queue or an ended context.
 type ErrLog struct {
 	Operation string
 	cause     error
@@ -52,37 +52,38 @@
 // Unwrap returns the cause.
 func (e *ErrLog) Unwrap() error { return e.cause }
 
-// errBusy means that the disk does not keep up.
-type errBusy struct{}
+// errQueueFull means that the disk does not keep up with the appends.
+type errQueueFull struct{}
 
 // Error implements error.
-func (errBusy) Error() string { return "too many records wait for the disk" }
+func (errQueueFull) Error() string { return "too many appends are waiting for the disk" }
 
-func failed(operation string, cause error) error {
+// wrapError returns an *ErrLog, or nil if there is no cause.
+func wrapError(operation string, cause error) error {
 	if cause == nil {
 		return nil
 	}
 	return errors.WithStack(&ErrLog{Operation: operation, cause: cause})
 }
 
-// Options configure a Log.
+// Options configures a Log.
 type Options struct {
-	// Folder must exist.
+	// Folder is the directory of the segments. It must exist.
 	Folder string
 	// Replay is called by Open for each record.
-	Replay func(payload []byte, at Position)
-	// IsLive tells whether a record of an old segment must be kept. It is called from Run. Nil keeps all.
+	Replay func(payload []byte, position Position)
+	// IsLive reports whether a record must survive compaction. It is called from Run. Nil keeps all records.
 	IsLive func(payload []byte) bool
-	// OnMove is called from Run when a record that is needed lies elsewhere from now on. It may be nil.
-	OnMove func(payload []byte, at Position)
-	// CompactionThreshold is the size of the log, in bytes, from which old segments are collected; 0 stands for
-	// 64 MB.
+	// OnMove is called from Run with the new position of a record that compaction has moved. It may be nil.
+	OnMove func(payload []byte, position Position)
+	// CompactionThreshold is the size of the log, in bytes, from which old segments are compacted. The default
+	// is 64 MiB.
 	CompactionThreshold int64
 }
 
-type appending struct {
+type appendRequest struct {
 	payloads [][]byte
-	apply    func(at []Position)
+	apply    func(positions []Position)
 	done     chan error
 }
 
@@ -93,38 +94,41 @@
 	bytes  int64
 }
 
-// Log is an open log. Append may be called concurrently.
+// Log is an open log. Append and Read may be called concurrently.
 type Log struct {
 	options Options
-	queue   chan appending
+	queue   chan appendRequest
 
-	// The rest belongs to Run.
+	// The fields up to compacting are accessed only by Run once the log is open.
+
+	// file is the segment being written, or nil. number is the number of the last segment.
 	file   *os.File
 	number int
-	// segments are the files, oldest first; the last one is written if file is open.
+	// segments are ordered from oldest to newest. If file is not nil, it is the last one.
 	segments []segment
-	bytes    int64
-	// collectAbove rises if most of what is collected is still needed.
-	collectAbove int64
-	collecting   *collection
+	// bytes is the size of all segments.
+	bytes int64
+	// compactionThreshold is raised when compaction finds mostly live records.
+	compactionThreshold int64
+	compacting          *compaction
 
-	readers readers
+	fileCache fileCache
 }
 
-// Open reads the log in a folder.
+// Open replays the log in a directory, which may be empty.
 func Open(options Options) (*Log, error) {
-	log := &Log{options: options, queue: make(chan appending, queuedAppends), collectAbove: options.CompactionThreshold}
-	if log.collectAbove == 0 {
-		log.collectAbove = defaultCollectAbove
+	log := &Log{options: options, queue: make(chan appendRequest, maxQueuedAppends), compactionThreshold: options.CompactionThreshold}
+	if log.compactionThreshold == 0 {
+		log.compactionThreshold = defaultCompactionThreshold
 	}
 	names, err := filepath.Glob(filepath.Join(options.Folder, segmentGlob))
 	if err != nil {
-		return nil, failed("list", err)
+		return nil, wrapError("list", err)
 	}
 	slices.Sort(names)
 	for _, name := range names {
 		if _, err := fmt.Sscanf(filepath.Base(name), segmentPattern, &log.number); err != nil {
-			return nil, failed("name of "+name, err)
+			return nil, wrapError("parse segment name "+name, err)
 		}
 		size, err := replaySegment(name, log.number, options.Replay)
 		if err != nil {
@@ -136,42 +140,43 @@
 	return log, nil
 }
 
-// Append writes records and returns once they are synced. apply is called from Run when they are,
-// before anything else is written, and gets where each record lies: IsLive may be called for them at any moment from then on. After an error
-// the records may or may not be in the log. While the disk stands still and many wait already, it fails at
-// once: what waits is memory, and others have the records.
-func (l *Log) Append(ctx context.Context, payloads [][]byte, apply func(at []Position)) error {
-	request := appending{payloads: payloads, apply: apply, done: make(chan error, 1)}
+// Append writes records and returns once they are synced and applied: after the sync and before any other write, Run
+// calls apply with the position of each record. From then on IsLive may be called for these records at any time.
+// After an error, the records may or may not be in the log. If the disk hangs and the queue is full, Append
+// fails at once, because queued appends take memory and other replicas have the records.
+func (l *Log) Append(ctx context.Context, payloads [][]byte, apply func(positions []Position)) error {
+	request := appendRequest{payloads: payloads, apply: apply, done: make(chan error, 1)}
 	select {
 	case l.queue <- request:
 	default:
-		return failed("append", errBusy{})
+		return wrapError("append", errQueueFull{})
 	}
 	select {
 	case err := <-request.done:
 		return err
 	case <-ctx.Done():
-		return failed("append", ctx.Err())
+		return wrapError("append", ctx.Err())
 	}
 }
 
-// Run writes what is appended until the context ends.
+// Run writes queued appends and compacts the log until the context ends.
 func (l *Log) Run(ctx context.Context) {
 	defer l.closeFile()
-	defer l.readers.close()
+	defer l.fileCache.close()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-l.queue:
 			written := l.writeBatch(l.takeQueued(first))
-			l.collectOldest(max(collectStep, 2*written))
+			l.compact(max(minCompactionStepBytes, 2*written))
 		}
 	}
 }
 
-func (l *Log) takeQueued(first appending) []appending {
-	batch := []appending{first}
+// takeQueued returns first and all other queued appends.
+func (l *Log) takeQueued(first appendRequest) []appendRequest {
+	batch := []appendRequest{first}
 	for {
 		select {
 		case next := <-l.queue:
@@ -182,8 +187,8 @@
 	}
 }
 
-// writeBatch returns how many bytes it wrote.
-func (l *Log) writeBatch(batch []appending) int {
+// writeBatch writes and syncs a batch of appends, completes them, and returns the number of bytes written.
+func (l *Log) writeBatch(batch []appendRequest) int {
 	var payloads [][]byte
 	for _, request := range batch {
 		payloads = append(payloads, request.payloads...)
@@ -199,7 +204,7 @@
 	return written
 }
 
-// write appends records, syncs them, and returns where they lie.
+// write appends records to the log, syncs them, and returns their positions.
 func (l *Log) write(payloads [][]byte) (positions []Position, written int, err error) {
 	if err := l.openFile(); err != nil {
 		return nil, 0, err
@@ -224,12 +229,13 @@
 
 func (l *Log) sync(buffer []byte) error {
 	if _, err := l.file.Write(buffer); err != nil {
-		return failed("write", err)
+		return wrapError("write", err)
 	}
-	return failed("sync", syscall.Fdatasync(int(l.file.Fd())))
+	return wrapError("sync", syscall.Fdatasync(int(l.file.Fd())))
 }
 
-// openFile starts a new segment if there is none; its name is synced before anything in it counts.
+// openFile starts a new segment unless one is open. It syncs the directory, so that the file itself is durable
+// before any record in it is acknowledged.
 func (l *Log) openFile() error {
 	if l.file != nil {
 		return nil
@@ -238,7 +244,7 @@
 	name := filepath.Join(l.options.Folder, fmt.Sprintf(segmentPattern, l.number))
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
-		return failed("create", err)
+		return wrapError("create", err)
 	}
 	if err := SyncDir(l.options.Folder); err != nil {
 		_ = file.Close()
@@ -256,12 +262,12 @@
 	}
 }
 
-// SyncDir makes the names in a folder durable.
-func SyncDir(folder string) error {
-	directory, err := os.Open(folder)
+// SyncDir syncs a directory, which makes file creations and renames in it durable.
+func SyncDir(dir string) error {
+	file, err := os.Open(dir)
 	if err != nil {
-		return failed("open folder", err)
+		return wrapError("open directory", err)
 	}
-	defer directory.Close()
-	return failed("sync folder", directory.Sync())
+	defer file.Close()
+	return wrapError("sync directory", file.Sync())
 }
--- a/internal/turnlog/turnlog_test.go
+++ b/internal/turnlog/turnlog_test.go
@@ -14,15 +14,15 @@
 	"gotest.tools/v3/poll"
 )
 
-// testCollectAbove keeps the tests quick.
-const testCollectAbove = 12 << 20
+// testCompactionThreshold, in bytes, is small so that the tests need little data.
+const testCompactionThreshold = 12 << 20
 
-func open(t *testing.T, folder string, needed func([]byte) bool) (*Log, []string, func()) {
+func open(t *testing.T, dir string, isLive func([]byte) bool) (*Log, []string, func()) {
 	t.Helper()
 	var replayed []string
 	log, err := Open(Options{
-		Folder: folder, Replay: func(payload []byte, _ Position) { replayed = append(replayed, string(payload)) }, IsLive: needed,
-		CompactionThreshold: testCollectAbove,
+		Folder: dir, Replay: func(payload []byte, _ Position) { replayed = append(replayed, string(payload)) }, IsLive: isLive,
+		CompactionThreshold: testCompactionThreshold,
 	})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,26 +48,26 @@
 	assert.NilError(t, log.Append(ctx, encoded, func([]Position) {}))
 }
 
-func TestRecordsComeBackInOrder(t *testing.T) {
-	folder := t.TempDir()
-	log, _, stop := open(t, folder, nil)
+func TestReplayOrder(t *testing.T) {
+	dir := t.TempDir()
+	log, _, stop := open(t, dir, nil)
 	add(t, log, "one", "two")
 	add(t, log, "three")
 	stop()
-	log, replayed, stop := open(t, folder, nil)
+	log, replayed, stop := open(t, dir, nil)
 	assert.DeepEqual(t, replayed, []string{"one", "two", "three"})
 	add(t, log, "four")
 	stop()
-	_, replayed, stop = open(t, folder, nil)
+	_, replayed, stop = open(t, dir, nil)
 	stop()
 	assert.DeepEqual(t, replayed, []string{"one", "two", "three", "four"})
 }
 
-// Whatever of the last write reached the disk, what was acknowledged before comes back, and what is
-// appended after the loss of power does, too.
-func TestTornEnd(t *testing.T) {
-	folder := t.TempDir()
-	log, _, stop := open(t, folder, nil)
+// A torn or corrupt last write must lose neither the records acknowledged before it nor those appended after
+// the log is opened again.
+func TestTornWrite(t *testing.T) {
+	dir := t.TempDir()
+	log, _, stop := open(t, dir, nil)
 	add(t, log, "kept")
 	stop()
 	name := log.segments[0].name
@@ -80,102 +80,102 @@
 			if damage >= 0 && damage < len(tail) {
 				tail[damage] ^= 0x40
 			}
-			copyFolder := t.TempDir()
-			assert.NilError(t, os.WriteFile(filepath.Join(copyFolder, filepath.Base(name)), append(append([]byte(nil), whole...), tail...), 0o600))
-			log, replayed, stop := open(t, copyFolder, nil)
+			copyDir := t.TempDir()
+			assert.NilError(t, os.WriteFile(filepath.Join(copyDir, filepath.Base(name)), append(append([]byte(nil), whole...), tail...), 0o600))
+			log, replayed, stop := open(t, copyDir, nil)
 			assert.Equal(t, replayed[0], "kept", "cut at %d", cut)
 			add(t, log, "after")
 			stop()
-			_, replayed, stop = open(t, copyFolder, nil)
+			_, replayed, stop = open(t, copyDir, nil)
 			stop()
 			assert.Equal(t, replayed[len(replayed)-1], "after", "cut at %d", cut)
 		}
 	}
 }
 
-func TestAppendsAtOnceShareASync(t *testing.T) {
-	folder := t.TempDir()
-	log, _, stop := open(t, folder, nil)
-	var tasks sync.WaitGroup
+func TestConcurrentAppends(t *testing.T) {
+	dir := t.TempDir()
+	log, _, stop := open(t, dir, nil)
+	var appends sync.WaitGroup
 	for index := range 100 {
-		tasks.Add(1)
+		appends.Add(1)
 		go func() {
-			defer tasks.Done()
+			defer appends.Done()
 			add(t, log, fmt.Sprint(index))
 		}()
 	}
-	tasks.Wait()
+	appends.Wait()
 	stop()
-	_, replayed, stop := open(t, folder, nil)
+	_, replayed, stop := open(t, dir, nil)
 	stop()
 	assert.Equal(t, len(replayed), 100)
 }
 
-// While the disk stands still, no more appends wait than the log has room for.
-func TestStandingDiskRefusesWhatItCannotTake(t *testing.T) {
+// While the disk hangs, an append beyond the queue's capacity fails at once.
+func TestAppendFailsWhenQueueIsFull(t *testing.T) {
 	log, err := Open(Options{Folder: t.TempDir(), Replay: func([]byte, Position) {}})
 	assert.NilError(t, err)
-	// Run is not started: nothing is taken from the queue, as while a write hangs.
+	// Without Run, nothing is taken from the queue, as while a write hangs.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for range queuedAppends {
-		go func() { _ = log.Append(ctx, [][]byte{[]byte("waits")}, func([]Position) {}) }()
+	for range maxQueuedAppends {
+		go func() { _ = log.Append(ctx, [][]byte{[]byte("queued")}, func([]Position) {}) }()
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(log.queue) == queuedAppends {
+		if len(log.queue) == maxQueuedAppends {
 			return poll.Success()
 		}
-		return poll.Continue("%d appends wait", len(log.queue))
+		return poll.Continue("%d appends are queued", len(log.queue))
 	})
 	err = log.Append(ctx, [][]byte{[]byte("one too many")}, func([]Position) {})
-	var failure *ErrLog
-	assert.Assert(t, errors.As(err, &failure) && errors.Is(err, errBusy{}), "%v", err)
+	var target *ErrLog
+	assert.Assert(t, errors.As(err, &target) && errors.Is(err, errQueueFull{}), "%v", err)
 }
 
-// A disk that refuses writes fails the append, and the log goes on once it takes them again.
-func TestFailingDisk(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "data")
-	assert.NilError(t, os.Mkdir(folder, 0o700))
-	log, _, stop := open(t, folder, nil)
+// A write error fails the append without calling apply, and appends succeed again once the disk recovers.
+func TestAppendAfterWriteErrors(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "data")
+	assert.NilError(t, os.Mkdir(dir, 0o700))
+	log, _, stop := open(t, dir, nil)
 	add(t, log, "before")
-	moved := folder + ".gone"
-	assert.NilError(t, log.file.Close()) // the next write fails as on a full disk
-	assert.NilError(t, os.Rename(folder, moved))
+	moved := dir + ".gone"
+	assert.NilError(t, log.file.Close()) // makes the next write fail
+	assert.NilError(t, os.Rename(dir, moved))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for range 2 {
-		err := log.Append(ctx, [][]byte{[]byte("lost")}, func([]Position) { t.Error("a record was shown that is not durable") })
-		var failure *ErrLog
-		assert.Assert(t, errors.As(err, &failure))
+		err := log.Append(ctx, [][]byte{[]byte("lost")}, func([]Position) { t.Error("apply was called for a record that is not durable") })
+		var target *ErrLog
+		assert.Assert(t, errors.As(err, &target))
 	}
-	assert.NilError(t, os.Rename(moved, folder))
+	assert.NilError(t, os.Rename(moved, dir))
 	add(t, log, "after")
 	stop()
-	_, replayed, stop := open(t, folder, nil)
+	_, replayed, stop := open(t, dir, nil)
 	stop()
 	assert.DeepEqual(t, replayed, []string{"before", "after"})
 }
 
-// Old segments go, what is needed of them stays; of what is appended meanwhile nothing is lost, also if
-// nobody has waited for it. The log does not grow beyond its limit and two segments.
-func TestGrownLogKeepsWhatIsNeeded(t *testing.T) {
-	folder := t.TempDir()
+// Compaction must lose no live record, including those appended meanwhile, and must keep the log within its
+// threshold and two segments.
+func TestCompactionKeepsLiveRecords(t *testing.T) {
+	dir := t.TempDir()
 	filler := make([]byte, 1<<20)
-	log, _, stop := open(t, folder, func(payload []byte) bool { return len(payload) < len(filler) })
+	log, _, stop := open(t, dir, func(payload []byte) bool { return len(payload) < len(filler) })
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	wanted := make(map[string]bool)
-	for index := range 4 * testCollectAbove / len(filler) {
+	for index := range 4 * testCompactionThreshold / len(filler) {
 		name := fmt.Sprint("record ", index)
 		wanted[name] = true
 		assert.NilError(t, log.Append(ctx, [][]byte{filler, []byte(name)}, func([]Position) {}))
 	}
 	stop()
-	names, err := filepath.Glob(filepath.Join(folder, segmentGlob))
+	names, err := filepath.Glob(filepath.Join(dir, segmentGlob))
 	assert.NilError(t, err)
-	assert.Assert(t, filepath.Base(names[0]) != fmt.Sprintf(segmentPattern, 1), "no old segment was removed")
-	assert.Assert(t, log.bytes <= testCollectAbove+2*segmentBytes, "the log has %d bytes", log.bytes)
-	_, replayed, stop := open(t, folder, nil)
+	assert.Assert(t, filepath.Base(names[0]) != fmt.Sprintf(segmentPattern, 1), "no segment was removed")
+	assert.Assert(t, log.bytes <= testCompactionThreshold+2*segmentBytes, "the log has %d bytes", log.bytes)
+	_, replayed, stop := open(t, dir, nil)
 	stop()
 	found := make(map[string]bool)
 	for _, record := range replayed {
@@ -186,10 +186,10 @@
 	assert.DeepEqual(t, found, wanted)
 }
 
-// While nearly all is needed, the log grows instead of being read again and again.
-func TestLogThatIsAllNeededIsNotReadOverAndOver(t *testing.T) {
-	folder := t.TempDir()
-	log, _, stop := open(t, folder, nil)
+// If all records are live, the log must grow instead of being rewritten again and again.
+func TestCompactionOfLiveLogIsBounded(t *testing.T) {
+	dir := t.TempDir()
+	log, _, stop := open(t, dir, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	record := make([]byte, 256<<10)
@@ -199,8 +199,8 @@
 		assert.NilError(t, log.Append(ctx, [][]byte{record}, func([]Position) {}))
 	}
 	stop()
-	assert.Assert(t, log.number <= 2*records*len(record)/segmentBytes, "%d segments were written", log.number)
-	_, replayed, stop := open(t, folder, nil)
+	assert.Assert(t, log.number <= 2*records*len(record)/segmentBytes, "%d segments were started", log.number)
+	_, replayed, stop := open(t, dir, nil)
 	stop()
 	found := make(map[byte]bool)
 	for _, payload := range replayed {
@@ -209,18 +209,18 @@
 	assert.Equal(t, len(found), records)
 }
 
-// Records are found where the log says, also after they were moved and after a restart.
-func TestRecordsAreReadFromTheDisk(t *testing.T) {
-	folder := t.TempDir()
+// Records can be read at their reported positions after they were moved and after the log is opened again.
+func TestReadAfterCompaction(t *testing.T) {
+	dir := t.TempDir()
 	var mutex sync.Mutex
 	positions := make(map[string]Position)
-	learn := func(payload []byte, at Position) {
+	setPosition := func(payload []byte, at Position) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		positions[string(payload[:8])] = at
 	}
-	needed := func(payload []byte) bool { return payload[0] == 'n' }
-	options := Options{Folder: folder, Replay: learn, OnMove: learn, IsLive: needed, CompactionThreshold: testCollectAbove}
+	isLive := func(payload []byte) bool { return payload[0] == 'n' }
+	options := Options{Folder: dir, Replay: setPosition, OnMove: setPosition, IsLive: isLive, CompactionThreshold: testCompactionThreshold}
 	run := func() (*Log, func()) {
 		log, err := Open(options)
 		assert.NilError(t, err)
@@ -250,7 +250,7 @@
 	for index := range 100 {
 		payload := append(fmt.Appendf(nil, "n%07d", index), make([]byte, index*100)...)
 		filler := append([]byte("filler.."), make([]byte, 300<<10)...)
-		err := log.Append(ctx, [][]byte{filler, payload}, func(at []Position) { learn(payload, at[1]) })
+		err := log.Append(ctx, [][]byte{filler, payload}, func(at []Position) { setPosition(payload, at[1]) })
 		assert.NilError(t, err)
 	}
 	stop()
