--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,16 +1,15 @@
-// Package catalog holds what all nodes must know: the configuration, the engines, the replica set,
-// and machines to be emptied, as entries with a key and a revision. An entry is only ever replaced
-// by one of a higher revision, so that it doesn't matter in which order, from whom, or how often it
-// is heard. Removals stay as entries without a value for a while, so that an old entry does not
-// come back.
+// Package catalog replicates shared data from the store to all nodes: the configuration, the engines, the
+// replica sets and the replicas to be retired. Each entry has a key and a revision and is only replaced by
+// an entry of a higher revision, so updates may arrive in any order, from any node and more than once. A
+// removed entry is kept as a tombstone for a while, so that an old version can't reappear.
 //
-// State is the pure part. Manager feeds it from a Source (the store) or from peers, and tells
-// subscribers of changes.
+// State merges entries and does no I/O. Manager updates a State from a Source (the store) or from peers, serves
+// it to other nodes, and reports changes to a callback.
 //
 // Usage:
 //
 //	manager := catalog.NewManager(catalog.Options{Source: store, OnChange: apply, ...}, network, logger)
-//	go manager.Run(ctx)   // apply hears each changed entry
+//	go manager.Run(ctx) // calls apply with each changed entry
 //	entry, found := manager.Get(key)
 package catalog
 
@@ -21,7 +20,7 @@
 	"time"
 )
 
-// The kinds of entries; a key is a kind, a slash, and a name.
+// The kinds of entries. A key consists of a kind, a slash and a name.
 const (
 	ConfigurationKind = "configuration"
 	EngineKind        = "engine"
@@ -30,13 +29,13 @@
 	RetirementKind    = "retirement"
 )
 
-// removedFor is how long the removal of an entry is remembered.
-const removedFor = 10 * time.Minute
+// tombstoneTTL is how long the removal of an entry is remembered.
+const tombstoneTTL = 10 * time.Minute
 
-// Key returns the key of an entry.
+// Key returns the key of the entry with a kind and a name.
 func Key(kind, name string) string { return kind + "/" + name }
 
-// SplitKey returns the kind and the name in a key.
+// SplitKey splits a key into its kind and its name.
 func SplitKey(key string) (kind, name string) {
 	kind, name, _ = strings.Cut(key, "/")
 	return kind, name
@@ -45,77 +44,79 @@
 // Entry is one version of one item.
 type Entry struct {
 	Key string `json:"k"`
-	// Revision orders the versions of an entry; it is the store's.
+	// Revision orders the versions of an entry. It is assigned by the store.
 	Revision int64 `json:"r"`
-	// Value is JSON; it is empty once the entry was removed.
+	// Value is empty if the entry is a tombstone.
 	Value json.RawMessage `json:"v,omitempty"`
 }
 
-// Removed tells whether the entry says that the item is gone.
+// Removed reports whether the entry is a tombstone.
 func (e Entry) Removed() bool { return len(e.Value) == 0 }
 
-// Unchanged stands in a listing for an item that is there and can't be used: it is not gone, and what is known of it stays.
+// Unchanged returns a placeholder for an item in a listing that exists but has an unusable value: the last usable version
+// of its entry is kept.
 func Unchanged(key string) Entry { return Entry{Key: key} }
 
-// unchanged tells whether the entry only says that its item is there; no item has the revision 0.
-func (e Entry) unchanged() bool { return e.Revision == 0 && e.Removed() }
+// isPlaceholder reports whether the entry was made by Unchanged. Entries from the store have a revision above 0.
+func (e Entry) isPlaceholder() bool { return e.Revision == 0 && e.Removed() }
 
-type versioned struct {
+// record is the newest version of an entry, or its tombstone.
+type record struct {
 	entry     Entry
 	sequence  uint64
 	removedAt time.Time
 }
 
-// State merges entries. It is not safe for concurrent use.
+// State holds the newest version of each entry. It is not safe for concurrent use.
 type State struct {
-	entries  map[string]*versioned
+	entries  map[string]*record
 	sequence uint64
-	// order are all changes, oldest first; those that a later one of their entry has overtaken are left in it
-	// for a while.
-	order []change
+	// changes is the change log, oldest first. Superseded changes are removed lazily.
+	changes []change
 }
 
-// change says that an entry changed at a sequence.
+// change records that an entry changed at a sequence number.
 type change struct {
 	sequence uint64
 	key      string
 }
 
-// orderSlack is how many overtaken changes may stay in the order, besides as many as there are entries.
-const orderSlack = 256
+// maxStaleChanges is how many changes the change log may hold in addition to twice the number of entries.
+const maxStaleChanges = 256
 
 // NewState returns an empty State.
-func NewState() *State { return &State{entries: make(map[string]*versioned)} }
+func NewState() *State { return &State{entries: make(map[string]*record)} }
 
-// Merge takes an entry and reports whether it was news.
+// Merge stores an entry if its revision is newer than the stored one, and reports whether it did.
 func (s *State) Merge(now time.Time, entry Entry) bool {
-	known := s.entries[entry.Key]
-	if known != nil && known.entry.Revision >= entry.Revision {
+	stored := s.entries[entry.Key]
+	if stored != nil && stored.entry.Revision >= entry.Revision {
 		return false
 	}
-	if known == nil {
-		known = &versioned{}
-		s.entries[entry.Key] = known
+	if stored == nil {
+		stored = &record{}
+		s.entries[entry.Key] = stored
 	}
 	s.sequence++
-	known.entry = entry
-	known.sequence = s.sequence
-	s.order = append(s.order, change{sequence: s.sequence, key: entry.Key})
-	if len(s.order) > 2*len(s.entries)+orderSlack {
-		s.trimOrder()
+	stored.entry = entry
+	stored.sequence = s.sequence
+	s.changes = append(s.changes, change{sequence: s.sequence, key: entry.Key})
+	if len(s.changes) > 2*len(s.entries)+maxStaleChanges {
+		s.compactChanges()
 	}
-	known.removedAt = time.Time{}
+	stored.removedAt = time.Time{}
 	if entry.Removed() {
-		known.removedAt = now
+		stored.removedAt = now
 	}
 	return true
 }
 
-// RemoveMissing removes the entries of kind that a whole listing at revision did not show.
+// RemoveMissing removes the entries of a kind that are not in listed, a complete listing at a revision, unless they
+// are newer. It returns their tombstones.
 func (s *State) RemoveMissing(now time.Time, kind string, listed map[string]bool, revision int64) []Entry {
 	var removed []Entry
-	for key, known := range s.entries {
-		if entryKind, _ := SplitKey(key); entryKind != kind || listed[key] || known.entry.Removed() {
+	for key, stored := range s.entries {
+		if entryKind, _ := SplitKey(key); entryKind != kind || listed[key] || stored.entry.Removed() {
 			continue
 		}
 		entry := Entry{Key: key, Revision: revision}
@@ -126,68 +127,68 @@
 	return removed
 }
 
-// Forget drops removals that are old.
-func (s *State) Forget(now time.Time) {
-	for key, known := range s.entries {
-		if !known.removedAt.IsZero() && now.Sub(known.removedAt) > removedFor {
+// ExpireTombstones drops tombstones that are older than their TTL.
+func (s *State) ExpireTombstones(now time.Time) {
+	for key, stored := range s.entries {
+		if !stored.removedAt.IsZero() && now.Sub(stored.removedAt) > tombstoneTTL {
 			delete(s.entries, key)
 		}
 	}
 }
 
-// Sequence rises with each change of this State; it means nothing to other nodes' States.
+// Sequence returns the sequence number of the last change. Sequence numbers are local to a State.
 func (s *State) Sequence() uint64 { return s.sequence }
 
-// Since returns up to limit entries that changed after a sequence, oldest change first, and the sequence that
-// they reach.
+// Since returns up to limit entries that changed after a sequence number, oldest change first, and the sequence
+// number from which to continue.
 func (s *State) Since(sequence uint64, limit int) ([]Entry, uint64) {
-	first := sort.Search(len(s.order), func(index int) bool { return s.order[index].sequence > sequence })
+	first := sort.Search(len(s.changes), func(index int) bool { return s.changes[index].sequence > sequence })
 	var changed []Entry
-	for _, candidate := range s.order[first:] {
-		known := s.entries[candidate.key]
-		if known == nil || known.sequence != candidate.sequence {
+	for _, candidate := range s.changes[first:] {
+		stored := s.entries[candidate.key]
+		if stored == nil || stored.sequence != candidate.sequence {
 			continue
 		}
 		if len(changed) == limit {
 			return changed, sequence
 		}
-		changed = append(changed, known.entry)
+		changed = append(changed, stored.entry)
 		sequence = candidate.sequence
 	}
 	return changed, s.sequence
 }
 
-// trimOrder drops changes that were overtaken.
-func (s *State) trimOrder() {
-	kept := s.order[:0]
-	for _, candidate := range s.order {
-		if known := s.entries[candidate.key]; known != nil && known.sequence == candidate.sequence {
+// compactChanges drops superseded changes.
+func (s *State) compactChanges() {
+	kept := s.changes[:0]
+	for _, candidate := range s.changes {
+		if stored := s.entries[candidate.key]; stored != nil && stored.sequence == candidate.sequence {
 			kept = append(kept, candidate)
 		}
 	}
-	s.order = kept
+	s.changes = kept
 }
 
-// Get returns an entry that is not removed.
+// Get returns the entry with a key unless it was removed.
 func (s *State) Get(key string) (Entry, bool) {
-	known := s.entries[key]
-	if known == nil || known.entry.Removed() {
+	stored := s.entries[key]
+	if stored == nil || stored.entry.Removed() {
 		return Entry{}, false
 	}
-	return known.entry, true
+	return stored.entry, true
 }
 
-// Newest returns the newest version of an entry, which may say that it was removed.
-func (s *State) Newest(key string) (Entry, bool) {
-	known := s.entries[key]
-	if known == nil {
+// Latest returns the newest version of an entry, which may be a tombstone.
+func (s *State) Latest(key string) (Entry, bool) {
+	stored := s.entries[key]
+	if stored == nil {
 		return Entry{}, false
 	}
-	return known.entry, true
+	return stored.entry, true
 }
 
-// Revision is that of the newest version of an entry, 0 if there is none.
+// Revision returns the revision of the newest version of an entry, including tombstones, or 0 if there is none.
 func (s *State) Revision(key string) int64 {
-	newest, _ := s.Newest(key)
-	return newest.Revision
+	latest, _ := s.Latest(key)
+	return latest.Revision
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -25,8 +25,8 @@
 	return made
 }
 
-// Whatever the order and the number of times in which entries are heard, the newest stands.
-func TestMergeNeedsNoOrder(t *testing.T) {
+// The newest version must win whatever the order and the number of merges.
+func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewState()
 		newest := make(map[string]Entry)
@@ -37,10 +37,10 @@
 			if revision%3 != 0 {
 				value = strconv.FormatInt(revision, 10)
 			}
-			heard := entry(key, revision, value)
-			state.Merge(time.Now(), heard)
+			merged := entry(key, revision, value)
+			state.Merge(time.Now(), merged)
 			if revision > newest[key].Revision {
-				newest[key] = heard
+				newest[key] = merged
 			}
 		}
 		for key, want := range newest {
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestListingRemovesWhatItDoesNotShow(t *testing.T) {
+func TestRemoveMissing(t *testing.T) {
 	state := NewState()
 	now := time.Now()
 	state.Merge(now, entry("engine/a", 3, "a"))
@@ -64,17 +64,17 @@
 	_, found := state.Get("engine/a")
 	assert.Assert(t, !found)
 	_, found = state.Get("engine/b")
-	assert.Assert(t, found, "a page that is older than the entry must not remove it")
+	assert.Assert(t, found, "a listing that is older than the entry must not remove it")
 	_, found = state.Get("configuration/current")
 	assert.Assert(t, found)
-	assert.Assert(t, !state.Merge(now, entry("engine/a", 5, "old")), "an old entry must not come back")
-	state.Forget(now.Add(2 * removedFor))
+	assert.Assert(t, !state.Merge(now, entry("engine/a", 5, "old")), "an old version must not replace a tombstone")
+	state.ExpireTombstones(now.Add(2 * tombstoneTTL))
 	left, _ := state.Since(0, 100)
 	assert.Equal(t, len(left), 2)
 }
 
-// Pages of changes bring each entry's newest version, whatever changes between them, and end.
-func TestPagesOfChangesMissNothing(t *testing.T) {
+// Paging through changes must yield the newest version of each entry, even if entries change between pages.
+func TestSincePaging(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, follower := NewState(), NewState()
 		now := time.Now()
@@ -102,41 +102,41 @@
 		}
 		for page() {
 		}
-		for key, known := range state.entries {
+		for key, stored := range state.entries {
 			got, found := follower.Get(key)
-			if !found || got.Revision != known.entry.Revision {
-				t.Fatalf("%s is at %d instead of %d", key, got.Revision, known.entry.Revision)
+			if !found || got.Revision != stored.entry.Revision {
+				t.Fatalf("%s is at revision %d instead of %d", key, got.Revision, stored.entry.Revision)
 			}
 		}
-		if len(state.order) > 2*len(state.entries)+orderSlack {
-			t.Fatalf("%d changes are kept for %d entries", len(state.order), len(state.entries))
+		if len(state.changes) > 2*len(state.entries)+maxStaleChanges {
+			t.Fatalf("%d changes are kept for %d entries", len(state.changes), len(state.entries))
 		}
 	})
 }
 
-// recordingSource is a store whose changes the test makes.
-type recordingSource struct {
-	mutex   sync.Mutex
-	sink    Sink
-	starts  int
-	running bool
-	silent  bool
+// fakeSource is a Source whose changes are made by the test.
+type fakeSource struct {
+	mutex        sync.Mutex
+	sink         Sink
+	starts       int
+	running      bool
+	disconnected bool
 }
 
-// silence makes the store say nothing more, as behind a cut.
-func (s *recordingSource) silence() {
+// disconnect stops all reports to the sink, as a network partition does.
+func (s *fakeSource) disconnect() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silent = true
+	s.disconnected = true
 }
 
-func (s *recordingSource) speaks() bool {
+func (s *fakeSource) connected() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.silent
+	return !s.disconnected
 }
 
-func (s *recordingSource) Run(ctx context.Context, sink Sink) {
+func (s *fakeSource) Run(ctx context.Context, sink Sink) {
 	s.mutex.Lock()
 	s.sink = sink
 	s.running = true
@@ -145,7 +145,7 @@
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		if s.speaks() {
+		if s.connected() {
 			sink.Synced()
 		}
 		select {
@@ -159,20 +159,20 @@
 	}
 }
 
-func (s *recordingSource) active() bool {
+func (s *fakeSource) active() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.running
 }
 
-// started is how often the source was started.
-func (s *recordingSource) started() int {
+// startCount returns how often the source was started.
+func (s *fakeSource) startCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.starts
 }
 
-func (s *recordingSource) change(entries ...Entry) {
+func (s *fakeSource) change(entries ...Entry) {
 	s.mutex.Lock()
 	sink := s.sink
 	s.mutex.Unlock()
@@ -183,23 +183,24 @@
 	manager *Manager
 	network *transport.Transport
 	address string
-	source  *recordingSource
+	source  *fakeSource
 	stop    context.CancelFunc
 
 	mutex sync.Mutex
-	heard map[string]int64
+	// revisions are the last revisions passed to OnChange, by key.
+	revisions map[string]int64
 }
 
 func (n *testNode) onChange(changed Entry) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.heard[changed.Key] = changed.Revision
+	n.revisions[changed.Key] = changed.Revision
 }
 
 func (n *testNode) revision(key string) int64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.heard[key]
+	return n.revisions[key]
 }
 
 func startNode(t *testing.T, followAll bool, peers func() []string) *testNode {
@@ -216,17 +217,17 @@
 	})
 }
 
-// startNodeWith starts a node whose options the test completes.
-func startNodeWith(t *testing.T, complete func(*Options)) *testNode {
+// startNodeWith starts a node with options that the test can change.
+func startNodeWith(t *testing.T, configure func(*Options)) *testNode {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	node := &testNode{address: listener.Addr().String(), source: &recordingSource{}, heard: make(map[string]int64)}
+	node := &testNode{address: listener.Addr().String(), source: &fakeSource{}, revisions: make(map[string]int64)}
 	node.network = transport.New(transport.Options{Cluster: "test", NodeID: node.address, Address: node.address, Logger: events.Discard()})
 	options := Options{
 		Self: Endpoint{Address: node.address}, Source: node.source, StaleAfter: time.Second, OnChange: node.onChange,
 	}
-	complete(&options)
+	configure(&options)
 	node.manager = NewManager(options, node.network, events.Discard())
 	ctx, stop := context.WithCancel(context.Background())
 	node.stop = stop
@@ -239,24 +240,23 @@
 	return node
 }
 
-func eventually(t *testing.T, what string, check func() bool) {
+func eventually(t *testing.T, condition string, check func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if check() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", condition)
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// A follower learns of changes from the first peer that is fresh, does not read the store, and
-// does so once no peer is left.
-func TestFollowerReadsTheStoreOnlyWithoutPeers(t *testing.T) {
+// A follower gets changes from the first fresh peer, and reads the store only after all peers are lost.
+func TestFollowerReadsStoreOnlyWithoutPeers(t *testing.T) {
 	none := func() []string { return nil }
 	first := startNode(t, true, none)
 	second := startNode(t, true, func() []string { return []string{first.address} })
 	follower := startNode(t, false, func() []string { return []string{first.address, second.address} })
-	eventually(t, "sources run", func() bool { return first.source.active() && second.source.active() })
+	eventually(t, "both sources run", func() bool { return first.source.active() && second.source.active() })
 	first.source.change(entry("configuration/current", 5, "five"))
 	eventually(t, "the change arrives", func() bool { return follower.revision("configuration/current") == 5 })
 	eventually(t, "the peer is fresh", func() bool { return !follower.source.active() && follower.manager.Age() < time.Second })
@@ -275,23 +275,23 @@
 	assert.Equal(t, follower.revision("configuration/current"), int64(7))
 }
 
-func TestNodeWithoutTheStoreServesWhatPeersTell(t *testing.T) {
+func TestChangesPassThroughFollower(t *testing.T) {
 	none := func() []string { return nil }
 	reader := startNode(t, true, none)
 	eventually(t, "its source runs", reader.source.active)
-	blind := startNode(t, true, func() []string { return []string{reader.address} })
-	follower := startNode(t, false, func() []string { return []string{blind.address} })
+	relay := startNode(t, true, func() []string { return []string{reader.address} })
+	follower := startNode(t, false, func() []string { return []string{relay.address} })
 	reader.source.change(entry("engine/e1", 9, "here"))
-	eventually(t, "news passes through the blind node", func() bool { return follower.revision("engine/e1") == 9 })
+	eventually(t, "the change passes through the relay", func() bool { return follower.revision("engine/e1") == 9 })
 	reader.source.change(entry("engine/e1", 11, ""))
-	eventually(t, "a removal passes, too", func() bool {
+	eventually(t, "the removal passes through the relay", func() bool {
 		_, found := follower.manager.Get("engine/e1")
 		return !found
 	})
 }
 
-// A replica that leaves the store to others reads it only while none of them is fresh.
-func TestReplicaReadsTheStoreOnlyWithoutReaders(t *testing.T) {
+// A replica that need not read the store does so only after all readers are lost.
+func TestReplicaReadsStoreOnlyWithoutReaders(t *testing.T) {
 	none := func() []string { return nil }
 	var addresses []string
 	var readers []*testNode
@@ -306,7 +306,7 @@
 	})
 	readers[1].source.change(entry("configuration/current", 3, "three"))
 	eventually(t, "the change arrives", func() bool { return replica.revision("configuration/current") == 3 })
-	eventually(t, "the store is left to the readers", func() bool { return !replica.source.active() })
+	eventually(t, "the replica stops reading the store", func() bool { return !replica.source.active() })
 	for _, reader := range readers {
 		reader.stop()
 		reader.network.Close()
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -11,82 +11,85 @@
 
 const (
 	followKind = "catalog.follow"
-	// followWait is how long a peer holds a question to which there is no news; its answer is the
-	// sign that the peer is alive.
-	followWait = 500 * time.Millisecond
-	// contactPause is how long it holds one at least when there is nothing new but contact with the store.
-	contactPause = 250 * time.Millisecond
-	// followEntries bounds the entries of one answer. After a start all followers ask for everything at once; with
-	// thousands of engines, whole listings for each of them would be more than a replica's memory.
-	followEntries = 200
-	// followTimeout is how long an answer may take in all.
-	followTimeout = followWait + time.Second
-	// followAroundAfter is how long nothing may come from a peer before it is asked through other nodes, too.
-	followAroundAfter = followWait + 200*time.Millisecond
-	// followPause follows a failed question, and doubles with each further one up to followPauseMost. It begins
-	// short: after a restart of all nodes, gateways serve nothing before they reach a replica.
-	followPause     = 40 * time.Millisecond
-	followPauseMost = 400 * time.Millisecond
-	// handOverPause is how long a peer that hands over a listing may take for its next page.
-	handOverPause = 800 * time.Millisecond
+	// longPollWait is how long a peer holds a request without changes. Its response also shows that the peer
+	// is alive.
+	longPollWait = 500 * time.Millisecond
+	// minSyncHold is the minimum time that a peer holds a request if it only has a newer sync time to report.
+	minSyncHold = 250 * time.Millisecond
+	// maxResponseEntries bounds the entries of one response. When all followers start at once, complete listings of
+	// thousands of engines for each of them would exceed a replica's memory.
+	maxResponseEntries = 200
+	// followTimeout bounds a request, including its hold time.
+	followTimeout = longPollWait + time.Second
+	// detourDelay is how long a peer may send nothing before a request is also routed through other nodes.
+	detourDelay = longPollWait + 200*time.Millisecond
+	// minFollowBackoff is the backoff after a failed request. It doubles with each further failure up to maxFollowBackoff,
+	// and starts short because a gateway serves nothing before it reaches a replica after a restart.
+	minFollowBackoff = 40 * time.Millisecond
+	maxFollowBackoff = 400 * time.Millisecond
+	// maxPageGap is the longest time between two pages of a listing that still counts as a transfer in progress.
+	maxPageGap = 800 * time.Millisecond
 )
 
-// follower is one peer that this node follows.
+// follower is the state of following one peer.
 type follower struct {
 	stop context.CancelFunc
-	// contactAt is when the store had been read, by what this peer said last.
-	contactAt time.Time
-	// pageAt is when the peer last said that it has more to hand over than it did.
-	pageAt time.Time
+	// syncedAt is the time at which the peer's catalog was last in sync with the store.
+	syncedAt time.Time
+	// lastPageAt is the time of the peer's last response that had further pages.
+	lastPageAt time.Time
 }
 
-// handingOver tells whether the peer is in the middle of a listing.
-func (f *follower) handingOver(now time.Time) bool { return now.Sub(f.pageAt) < handOverPause }
+// transferring reports whether the peer is in the middle of sending a listing.
+func (f *follower) transferring(now time.Time) bool { return now.Sub(f.lastPageAt) < maxPageGap }
 
-// position is how far a peer was followed. It outlasts the follower, so that a peer which is followed once more
-// does not hand over everything again.
+// position is how far a peer's changes were read. It outlives the follower, so that following the peer again
+// resumes instead of transferring everything.
 type position struct {
 	identity uint64
 	sequence uint64
 }
 
 type followRequest struct {
-	// Identity and After are those of the last answer; an answer begins anew if the identity is not the peer's.
+	// Identity and After are the identity and the sequence number of the last response. If the identity is not the
+	// peer's, the peer starts from its first change.
 	Identity   uint64 `json:"i"`
 	After      uint64 `json:"a"`
 	WaitMillis int64  `json:"w"`
 	Zone       string `json:"z,omitempty"`
-	// Feeds is how many feeds the asker would follow.
-	Feeds int `json:"n,omitempty"`
-	// Feed is set by a node that serves its catalog to others.
-	Feed *Endpoint `json:"f,omitempty"`
+	// MaxReferrals bounds the referrals in the response.
+	MaxReferrals int `json:"n,omitempty"`
+	// Endpoint is that of the requesting node if it is a mirror, and nil otherwise.
+	Endpoint *Endpoint `json:"f,omitempty"`
 }
 
-type followAnswer struct {
+type followResponse struct {
+	// Identity is chosen at random when a node starts. Sequence numbers are only comparable for one identity.
 	Identity uint64  `json:"i"`
 	Sequence uint64  `json:"s"`
 	Entries  []Entry `json:"e,omitempty"`
-	// Announced are changes whose values are to be fetched.
+	// Announced are changed entries whose values must be fetched.
 	Announced []announcement `json:"l,omitempty"`
-	// AgeMillis is how long before the answer the store was read; HeldMillis is how long the question waited for it.
+	// AgeMillis is the time between the last sync with the store and the response; HeldMillis is how long the
+	// request was held.
 	AgeMillis  int64 `json:"g"`
 	HeldMillis int64 `json:"h,omitempty"`
-	// More tells that this is not all that the peer has, or that it is being handed a listing itself.
+	// More means that the peer has further entries, or is itself receiving a listing.
 	More bool `json:"m,omitempty"`
-	// Offers are the addresses of feeds that the asker should follow instead.
-	Offers []string `json:"o,omitempty"`
+	// Referrals are the addresses of mirrors to follow instead of this peer.
+	Referrals []string `json:"o,omitempty"`
 }
 
-// follow asks a peer for its changes until the context ends.
+// follow polls a peer for changes until the context ends.
 func (m *Manager) follow(ctx context.Context, address string, self *follower) {
 	reached := false
-	wait := followPause
+	backoff := minFollowBackoff
 	for ctx.Err() == nil {
-		askedAt := time.Now()
-		answer, err := m.askForChanges(ctx, address)
+		requestedAt := time.Now()
+		response, err := m.requestChanges(ctx, address)
 		if err == nil {
-			m.Apply(answer.Entries)
-			err = m.fetchAnnounced(ctx, address, answer.Announced)
+			m.Apply(response.Entries)
+			err = m.fetchAnnounced(ctx, address, response.Announced)
 		}
 		if ctx.Err() != nil {
 			return
@@ -96,62 +99,63 @@
 				m.logger.Emit(events.CatalogPeerLost, events.F("peer", address), events.F("error", err))
 			}
 			reached = false
-			clock.Pause(ctx, wait)
-			wait = min(2*wait, followPauseMost)
+			clock.Pause(ctx, backoff)
+			backoff = min(2*backoff, maxFollowBackoff)
 			continue
 		}
 		if !reached {
-			m.logger.Emit(events.CatalogPeerReached, events.F("peer", address), events.F("age_millis", answer.AgeMillis))
+			m.logger.Emit(events.CatalogPeerReached, events.F("peer", address), events.F("age_millis", response.AgeMillis))
 		}
 		reached = true
-		wait = followPause
-		m.heard(address, self, askedAt, answer)
+		backoff = minFollowBackoff
+		m.recordResponse(address, self, requestedAt, response)
 	}
 }
 
-func (m *Manager) askForChanges(ctx context.Context, address string) (followAnswer, error) {
+func (m *Manager) requestChanges(ctx context.Context, address string) (followResponse, error) {
 	callContext, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
 	m.mutex.Lock()
 	last := m.positions[address]
 	m.mutex.Unlock()
 	request := followRequest{
-		Identity: last.identity, After: last.sequence, WaitMillis: followWait.Milliseconds(), Zone: m.options.Self.Zone,
-		Feeds: m.need(),
+		Identity: last.identity, After: last.sequence, WaitMillis: longPollWait.Milliseconds(), Zone: m.options.Self.Zone,
+		MaxReferrals: m.minFreshPeers(),
 	}
-	if m.serves() {
-		request.Feed = &m.options.Self
+	if m.isMirror() {
+		request.Endpoint = &m.options.Self
 	}
-	return transport.CallAround[followAnswer](callContext, m.network, address, followKind, request, followAroundAfter)
+	return transport.CallAround[followResponse](callContext, m.network, address, followKind, request, detourDelay)
 }
 
-// heard takes what an answer says beside its entries, which are applied already: only then do its position and its
-// contact with the store count.
-func (m *Manager) heard(address string, self *follower, askedAt time.Time, answer followAnswer) {
+// recordResponse records the position, the sync time and the referrals of a response. Its entries must have been
+// applied: otherwise this node would skip them and appear to be in sync.
+func (m *Manager) recordResponse(address string, self *follower, requestedAt time.Time, response followResponse) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	if !m.heardAt.IsZero() && now.Sub(m.heardAt) > removedFor {
+	if !m.lastResponseAt.IsZero() && now.Sub(m.lastResponseAt) > tombstoneTTL {
 		m.mustList = true
 	}
-	m.heardAt = now
-	m.positions[address] = position{identity: answer.Identity, sequence: answer.Sequence}
-	m.offers.take(now, answer.Offers, m.need())
-	if answer.More {
-		self.pageAt = now
+	m.lastResponseAt = now
+	m.positions[address] = position{identity: response.Identity, sequence: response.Sequence}
+	m.referrals.update(now, response.Referrals, m.minFreshPeers())
+	if response.More {
+		self.lastPageAt = now
 	}
-	age := time.Duration(answer.AgeMillis) * time.Millisecond
+	age := time.Duration(response.AgeMillis) * time.Millisecond
 	if age >= unknownAge {
 		return
 	}
-	// The way back is not counted: an answer may have been held up on it.
-	self.contactAt = askedAt.Add(time.Duration(answer.HeldMillis)*time.Millisecond - age)
-	m.noteContact(self.contactAt)
+	// Computed from the time of the request, not of the response, which may have been delayed on the network.
+	self.syncedAt = requestedAt.Add(time.Duration(response.HeldMillis)*time.Millisecond - age)
+	m.recordSync(self.syncedAt)
 }
 
-func (m *Manager) serves() bool { return m.options.IsMirror != nil && m.options.IsMirror() }
+func (m *Manager) isMirror() bool { return m.options.IsMirror != nil && m.options.IsMirror() }
 
-func (m *Manager) serveFollow(ctx context.Context, from transport.Peer, request followRequest) (followAnswer, error) {
+// serveFollow holds a request until there are changes, or a newer sync time after minSyncHold, or its wait has passed.
+func (m *Manager) serveFollow(ctx context.Context, from transport.Peer, request followRequest) (followResponse, error) {
 	arrivedAt := time.Now()
 	deadline := time.NewTimer(time.Duration(request.WaitMillis) * time.Millisecond)
 	defer deadline.Stop()
@@ -159,74 +163,75 @@
 	if request.Identity != m.identity {
 		after = 0
 	}
-	offered := m.offersFor(from, request)
+	referred := m.referralsFor(from, request)
 	due := false
 	for {
-		answer, changed, contacted := m.newsAfter(after)
-		if len(answer.Entries)+len(answer.Announced) > 0 || due {
-			answer.Offers = offered
-			answer.HeldMillis = time.Since(arrivedAt).Milliseconds()
-			return answer, nil
+		response, changed, synced := m.changesAfter(after)
+		if len(response.Entries)+len(response.Announced) > 0 || due {
+			response.Referrals = referred
+			response.HeldMillis = time.Since(arrivedAt).Milliseconds()
+			return response, nil
 		}
 		select {
 		case <-changed:
-		case <-contacted:
-			due = time.Since(arrivedAt) >= contactPause
+		case <-synced:
+			due = time.Since(arrivedAt) >= minSyncHold
 		case <-deadline.C:
 			due = true
 		case <-ctx.Done():
-			return answer, ctx.Err()
+			return response, ctx.Err()
 		}
 	}
 }
 
-// offersFor are the addresses of the feeds that a follower should follow: this node if it serves the follower's
-// zone, or some of the feeds that follow this node.
-func (m *Manager) offersFor(from transport.Peer, request followRequest) []string {
+// referralsFor returns the mirrors that a follower should use: this node if it is a mirror in the follower's
+// zone, or else some of the mirrors that follow this node.
+func (m *Manager) referralsFor(from transport.Peer, request followRequest) []string {
 	now := time.Now()
-	serves := m.serves()
+	isMirror := m.isMirror()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	switch {
-	case request.Feed != nil:
-		m.feeds.heard(now, *request.Feed)
+	case request.Endpoint != nil:
+		m.mirrors.markSeen(now, *request.Endpoint)
 		return nil
-	case serves && m.options.Self.Zone == request.Zone:
+	case isMirror && m.options.Self.Zone == request.Zone:
 		return []string{m.options.Self.Address}
-	case serves:
+	case isMirror:
 		return nil
 	}
-	return m.feeds.choose(now, request.Zone, from.NodeID, request.Feeds)
+	return m.mirrors.choose(now, request.Zone, from.NodeID, request.MaxReferrals)
 }
 
-// newsAfter is the answer to a question, and what is closed at the next change and at the next contact.
-func (m *Manager) newsAfter(after uint64) (answer followAnswer, changed, contacted chan struct{}) {
+// changesAfter returns a response with the changes after a sequence number, and channels that are closed at the next
+// change and at the next sync.
+func (m *Manager) changesAfter(after uint64) (response followResponse, changed, synced chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
 	age := unknownAge
-	if !m.contactAt.IsZero() {
-		age = min(now.Sub(m.contactAt), unknownAge)
+	if !m.syncedAt.IsZero() {
+		age = min(now.Sub(m.syncedAt), unknownAge)
 	}
-	answer = followAnswer{Identity: m.identity, AgeMillis: age.Milliseconds(), More: m.beingFilled(now)}
+	response = followResponse{Identity: m.identity, AgeMillis: age.Milliseconds(), More: m.inInitialTransfer(now)}
 	var changes []Entry
-	changes, answer.Sequence = m.state.Since(after, followEntries)
-	answer.Entries, answer.Announced = split(changes)
-	if answer.Sequence < m.state.Sequence() {
-		// What is missing still may be newer than the last contact with the store.
-		answer.AgeMillis = unknownAge.Milliseconds()
-		answer.More = true
+	changes, response.Sequence = m.state.Since(after, maxResponseEntries)
+	response.Entries, response.Announced = splitBySize(changes)
+	if response.Sequence < m.state.Sequence() {
+		// The follower is not in sync before it has the remaining entries.
+		response.AgeMillis = unknownAge.Milliseconds()
+		response.More = true
 	}
-	return answer, m.changed, m.contacted
+	return response, m.changed, m.synced
 }
 
-// beingFilled tells whether a peer is handing over its listing to this node, which has never been fresh yet.
-func (m *Manager) beingFilled(now time.Time) bool {
-	if !m.contactAt.IsZero() {
+// inInitialTransfer reports whether this node has never been in sync and is receiving a peer's listing.
+func (m *Manager) inInitialTransfer(now time.Time) bool {
+	if !m.syncedAt.IsZero() {
 		return false
 	}
 	for _, peer := range m.followers {
-		if peer.handingOver(now) {
+		if peer.transferring(now) {
 			return true
 		}
 	}
--- a/internal/catalog/large.go
+++ b/internal/catalog/large.go
@@ -10,18 +10,19 @@
 
 const (
 	fetchKind = "catalog.fetch"
-	// largeBytes is the size from which a value is not sent to followers unasked.
-	largeBytes = 2 << 10
-	// fetchesServed is how many large values are encoded at once. All followers hear of a change in the same moment.
-	fetchesServed = 4
+	// largeValueBytes is the size from which a value is announced to followers instead of sent.
+	largeValueBytes = 2 << 10
+	// maxConcurrentFetches bounds the large values that are encoded at once, since all followers fetch a change at
+	// the same time.
+	maxConcurrentFetches = 4
 )
 
-// A node follows several peers, and each of them tells it of each change. A configuration of hundreds of routes
-// would cross the network once for each of them, and a replica would hold an encoded copy for each of its
-// followers at once: on small machines that ended replicas for memory when configurations came in quick
-// succession. So followers only hear that there is a newer version of a large value, and fetch it from one peer.
+// A node follows several peers and receives each change from each of them. If large values, such as configurations
+// with hundreds of routes, were sent like this, each would be transferred several times, and a replica would hold an
+// encoded copy for each of its followers at once, which can exhaust its memory. Large values are therefore
+// only announced, and each follower fetches them from one peer.
 
-// announcement names a version of an entry whose value is large.
+// announcement identifies a version of an entry whose value is large.
 type announcement struct {
 	Key      string `json:"k"`
 	Revision int64  `json:"r"`
@@ -31,14 +32,14 @@
 	Key string `json:"k"`
 }
 
-type fetchAnswer struct {
+type fetchResponse struct {
 	Entry Entry `json:"e"`
 }
 
-// split separates what is sent at once from what is announced.
-func split(entries []Entry) (small []Entry, announced []announcement) {
+// splitBySize separates entries to be sent from announcements of large ones.
+func splitBySize(entries []Entry) (small []Entry, announced []announcement) {
 	for _, entry := range entries {
-		if len(entry.Value) < largeBytes {
+		if len(entry.Value) < largeValueBytes {
 			small = append(small, entry)
 			continue
 		}
@@ -47,8 +48,8 @@
 	return small, announced
 }
 
-// fetchAnnounced gets what was announced and is not here yet. Several peers announce the same version; it is
-// fetched from the first, and the others wait for that.
+// fetchAnnounced fetches the announced versions that this node lacks. If several peers announce a version at the same
+// time, it is fetched from the first one, and the followers of the other peers wait for it.
 func (m *Manager) fetchAnnounced(ctx context.Context, address string, announced []announcement) error {
 	for _, wanted := range announced {
 		if m.has(wanted) {
@@ -63,6 +64,7 @@
 	return nil
 }
 
+// has reports whether this node has the announced version of an entry or a newer one.
 func (m *Manager) has(wanted announcement) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -72,26 +74,26 @@
 func (m *Manager) fetch(ctx context.Context, address string, wanted announcement) error {
 	callContext, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	answer, err := transport.CallAround[fetchAnswer](callContext, m.network, address, fetchKind, fetchRequest{Key: wanted.Key}, followAroundAfter)
+	response, err := transport.CallAround[fetchResponse](callContext, m.network, address, fetchKind, fetchRequest{Key: wanted.Key}, detourDelay)
 	if err != nil {
 		return err
 	}
-	if answer.Entry.Key != wanted.Key || answer.Entry.Revision < wanted.Revision {
-		return apierr.New(apierr.Internal, apierr.Ran, "node at %s announced %s at %d, and has %d", address, wanted.Key, wanted.Revision, answer.Entry.Revision)
+	if response.Entry.Key != wanted.Key || response.Entry.Revision < wanted.Revision {
+		return apierr.New(apierr.Internal, apierr.Ran, "node at %s announced %s at revision %d but returned revision %d", address, wanted.Key, wanted.Revision, response.Entry.Revision)
 	}
-	m.Apply([]Entry{answer.Entry})
+	m.Apply([]Entry{response.Entry})
 	return nil
 }
 
-func (m *Manager) serveFetch(ctx context.Context, _ transport.Peer, request fetchRequest) (fetchAnswer, error) {
+func (m *Manager) serveFetch(ctx context.Context, _ transport.Peer, request fetchRequest) (fetchResponse, error) {
 	select {
-	case m.fetchPlaces <- struct{}{}:
-		defer func() { <-m.fetchPlaces }()
+	case m.fetchSlots <- struct{}{}:
+		defer func() { <-m.fetchSlots }()
 	case <-ctx.Done():
-		return fetchAnswer{}, ctx.Err()
+		return fetchResponse{}, ctx.Err()
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	entry, _ := m.state.Newest(request.Key)
-	return fetchAnswer{Entry: entry}, nil
+	entry, _ := m.state.Latest(request.Key)
+	return fetchResponse{Entry: entry}, nil
 }
--- a/internal/catalog/large_test.go
+++ b/internal/catalog/large_test.go
@@ -8,11 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-func (n *testNode) received(kind string) int64 {
+// receivedBytes returns the number of bytes received in messages of a kind.
+func (n *testNode) receivedBytes(kind string) int64 {
 	return n.network.Traffic().ByKind()[kind].ReceivedBytes
 }
 
-// A large value crosses the network once, however many peers announce it.
+// A large value must be transferred only once, however many peers announce it.
 func TestLargeValueIsFetchedOnce(t *testing.T) {
 	none := func() []string { return nil }
 	first := startNode(t, true, none)
@@ -31,32 +32,32 @@
 		first.source.change(entry("configuration/current", revision, fmt.Sprint(version)+strings.Repeat("r", size)))
 		eventually(t, "the version arrives", func() bool { return follower.revision("configuration/current") == revision })
 	}
-	got := follower.received(followKind) + follower.received(fetchKind)
-	assert.Assert(t, got < (versions+1)*size, "%d bytes for %d versions of %d", got, versions, size)
-	held, found := follower.manager.Get("configuration/current")
-	assert.Assert(t, found && len(held.Value) > size)
+	got := follower.receivedBytes(followKind) + follower.receivedBytes(fetchKind)
+	assert.Assert(t, got < (versions+1)*size, "received %d bytes for %d versions of %d bytes", got, versions, size)
+	stored, found := follower.manager.Get("configuration/current")
+	assert.Assert(t, found && len(stored.Value) > size)
 	first.source.change(entry("configuration/current", versions+1, ""))
-	eventually(t, "a removal needs no fetch", func() bool {
+	eventually(t, "the removal arrives", func() bool {
 		_, found := follower.manager.Get("configuration/current")
 		return !found
 	})
 }
 
-// While a large value can't be fetched, the peer's position and contact don't count: the follower would take itself
-// for fresh without it.
-func TestAnnouncedValueThatDoesNotComeIsAskedForAgain(t *testing.T) {
+// While an announced value can't be fetched, the follower must not record the peer's position and sync time: it
+// would skip the value and appear fresh.
+func TestFailedFetchIsRetried(t *testing.T) {
 	none := func() []string { return nil }
 	peer := startNode(t, true, none)
-	for range fetchesServed {
-		peer.manager.fetchPlaces <- struct{}{}
+	for range maxConcurrentFetches {
+		peer.manager.fetchSlots <- struct{}{}
 	}
-	eventually(t, "its source runs", peer.source.active)
-	peer.source.change(entry("configuration/current", 5, strings.Repeat("r", 2*largeBytes)))
+	eventually(t, "the peer's source runs", peer.source.active)
+	peer.source.change(entry("configuration/current", 5, strings.Repeat("r", 2*largeValueBytes)))
 	follower := startNode(t, false, func() []string { return []string{peer.address} })
-	eventually(t, "the follower knows that it is not fresh", follower.source.active)
+	eventually(t, "the follower reads the store because it is not fresh", follower.source.active)
 	assert.Equal(t, follower.revision("configuration/current"), int64(0))
-	for range fetchesServed {
-		<-peer.manager.fetchPlaces
+	for range maxConcurrentFetches {
+		<-peer.manager.fetchSlots
 	}
 	eventually(t, "the value arrives", func() bool { return follower.revision("configuration/current") == 5 })
 }
--- a/internal/catalog/manager.go
+++ b/internal/catalog/manager.go
@@ -14,113 +14,115 @@
 )
 
 const (
-	// adjustInterval is how often it is looked which peers are to be followed.
-	adjustInterval = 100 * time.Millisecond
-	// startPatience is how long a node that has just started waits for the first answers of its peers before it reads
-	// the store, too. After a loss of power everywhere, replicas came back 0.3 s later than gateways, which meanwhile
-	// knew no routes.
-	startPatience = 30 * time.Millisecond
-	// firstStartPatience is the same when the whole system starts for the first time. Nobody calls yet then. With it, and
-	// with replicas that announce themselves under keys of their own, 295 nodes made 1,308 calls of the store in a day of 70 s
-	// instead of 4,945 (one run each).
-	firstStartPatience = 1500 * time.Millisecond
-	// sourcePatience is how long all peers are followed without one that is fresh before the store is read, too. Up
-	// to as much again is added by chance: nodes that lose their peers together must not list everything at once.
-	sourcePatience = 100 * time.Millisecond
-	// unknownAge is the age of a node that never heard from the store.
+	// reconcileInterval is how often the set of followed peers is updated.
+	reconcileInterval = 100 * time.Millisecond
+	// startupDelay is how long a node that has just started waits for responses from peers before it also reads the
+	// store. It is short because a gateway has no routes until then, and replicas may start later than gateways.
+	startupDelay = 30 * time.Millisecond
+	// firstStartupDelay replaces startupDelay at the first start of the whole system, when there are no requests
+	// yet, to reduce the load on the store.
+	firstStartupDelay = 1500 * time.Millisecond
+	// sourceDelay is how long a node follows all peers without a fresh one before it also reads the store. A random
+	// jitter of up to the same duration is added, so that nodes that lose their peers together don't all list the store
+	// at once.
+	sourceDelay = 100 * time.Millisecond
+	// unknownAge is the reported age of a catalog that was never in sync with the store.
 	unknownAge = time.Hour
 )
 
-// Sink takes what a Source learns. Its methods may be called concurrently.
+// Sink receives data from a Source. Its methods may be called concurrently.
 type Sink interface {
-	// Apply takes single changes.
+	// Apply merges changed entries.
 	Apply(entries []Entry)
-	// ApplyListing takes all entries of a kind as they were at a revision; others are gone.
+	// ApplyListing merges a complete listing of the entries of a kind at a revision, and removes all others of
+	// that kind.
 	ApplyListing(kind string, entries []Entry, revision int64)
-	// Synced says that the source answered just now and that nothing older is outstanding.
+	// Synced reports that the source has just responded and that all earlier changes have been applied.
 	Synced()
 }
 
-// Source follows the store.
+// Source reads entries from the store.
 type Source interface {
-	// Run follows the store until the context ends.
+	// Run lists and watches the store until the context ends.
 	Run(ctx context.Context, sink Sink)
 }
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
-	// Peers returns the addresses of nodes that serve their catalog, the preferred ones first.
+	// Peers returns the addresses of nodes that serve their catalog, in order of preference.
 	Peers func() []string
-	// FollowAll follows all peers; otherwise only as many as it takes to have MinFreshPeers fresh ones.
+	// FollowAll follows all peers instead of only as many as it takes to have MinFreshPeers fresh ones.
 	FollowAll bool
-	// MinFreshPeers returns how many fresh peers to follow; nil stands for one. A peer that is cut off from the store without
-	// knowing it looks fresh for a while. With one peer more than may be lost at once, changes come all the same.
+	// MinFreshPeers returns how many fresh peers to follow. The default is one. A peer that has lost the store appears
+	// fresh for a while, so changes only arrive reliably with one peer more than may fail at once.
 	MinFreshPeers func() int
-	// Self is where this node is, and its zone; a node that serves nobody needs only the zone.
+	// Self is this node's endpoint. The address is only needed if other nodes may follow this one.
 	Self Endpoint
-	// IsMirror tells whether gateways are to follow this node instead of those that it follows. Nil stands for never.
+	// IsMirror reports whether gateways should follow this node instead of its peers. Nil means never.
 	IsMirror func() bool
-	// ReadsStore tells whether this node follows the Source at all times; others do so only while no peer is
-	// fresh. Nil stands for never.
+	// ReadsStore reports whether this node always reads the Source. Otherwise it does so only while it has no fresh
+	// peer. Nil means never.
 	ReadsStore func() bool
 	Source     Source
-	// FirstStart is true only at the very first start of the whole system.
+	// FirstStart is set only at the first start of the whole system.
 	FirstStart bool
-	// StaleAfter is the age from which a peer's contact with the store is not fresh any more. It covers the time
-	// for which the store may hold a question, and the ways.
+	// StaleAfter is the age from which a catalog is not fresh any more. It must cover the time for which the store
+	// holds a watch, and network delays.
 	StaleAfter time.Duration
-	// OnChange hears changed entries, one at a time. Of each entry it hears rising revisions, the newest at last; those
-	// that were overtaken may be left out. It must not block, nor change the Manager.
+	// OnChange is called with changed entries, one at a time. The revisions of an entry are strictly increasing and end
+	// with the newest; superseded ones may be skipped. It must not block or modify the Manager.
 	OnChange func(Entry)
-	// OnOutageEnd hears, once the store is heard of again, since when it had not been, if that was longer ago than
-	// StaleAfter. It must not block. It may be nil.
+	// OnOutageEnd is called when the catalog is in sync with the store again after it was not for longer than
+	// StaleAfter; since is the last sync before. It is called with the Manager locked: it must not block or call the
+	// Manager. It may be nil.
 	OnOutageEnd func(since time.Time)
 }
 
-// Manager keeps a State up to date and serves it to peers. All methods may be called concurrently.
+// Manager keeps a State up to date and serves it to other nodes. All methods may be called concurrently.
 type Manager struct {
-	options  Options
-	network  *transport.Transport
-	logger   *events.Logger
+	options Options
+	network *transport.Transport
+	logger  *events.Logger
+	// identity is random, so that followers notice a restart, which resets sequence numbers.
 	identity uint64
 
-	// telling is held while OnChange is called. It is taken without mutex, and before it.
-	telling sync.Mutex
+	// notifyMutex is held while OnChange is called. Lock order: notifyMutex before mutex.
+	notifyMutex sync.Mutex
 
 	mutex sync.Mutex
 	state *State
-	// changed is closed at the next change, contacted at the next contact with the store.
-	changed   chan struct{}
-	contacted chan struct{}
-	// contactAt is the newest time at which the store is known to have been read, here or by a peer.
-	contactAt time.Time
-	// heardAt is when a peer or the store answered last.
-	heardAt time.Time
-	// mustList tells that removals may have been missed, which peers don't remember any more. Only a listing of the store
-	// shows them.
-	mustList  bool
+	// changed is closed at the next change, synced at the next sync with the store.
+	changed chan struct{}
+	synced  chan struct{}
+	// syncedAt is the last time at which this catalog is known to have been in sync with the store, directly or
+	// through a peer.
+	syncedAt time.Time
+	// lastResponseAt is the time of the last response from a peer or the store.
+	lastResponseAt time.Time
+	// mustList is set if removals may have been missed whose tombstones have expired on the peers. Only a listing
+	// of the store shows them.
+	mustList bool
+	// followers and positions are keyed by the address of the peer.
 	followers map[string]*follower
-	// positions are how far each peer was followed, by address.
 	positions map[string]position
-	feeds     *feeds
-	offers    offers
-	// fetches are the large values that are being fetched; fetchPlaces bounds how many are served at once.
-	fetches     singleflight.Group
-	fetchPlaces chan struct{}
-	// width is how many peers are followed; one more than there are means the source, too.
-	width int
-	// freshAt is when a peer was fresh last; when the node starts it begins a little later.
-	freshAt time.Time
-	// beenFresh tells that a peer was fresh before. Until then the node knows nothing, and nobody waits for the store
-	// in vain.
-	beenFresh bool
-	// sourceJitter is added to sourcePatience.
+	mirrors   *mirrors
+	referrals referrals
+	// fetches deduplicates fetches of large values; fetchSlots bounds how many are served at once.
+	fetches    singleflight.Group
+	fetchSlots chan struct{}
+	// followCount is the number of peers to follow. A value above the number of peers also enables the source.
+	followCount int
+	// lastFreshAt is the last time at which a peer was fresh. At startup it is the end of the startup delay.
+	lastFreshAt time.Time
+	// everFresh is set once a peer was fresh. Until then sourceDelay is not applied, since the node has no data.
+	everFresh bool
+	// sourceJitter is added to sourceDelay.
 	sourceJitter time.Duration
 	stopSource   context.CancelFunc
 	sourceActive bool
 }
 
-// NewManager returns a Manager; it serves peers at once, and learns once it runs.
+// NewManager returns a Manager that serves other nodes at once. Run updates its catalog.
 func NewManager(options Options, network *transport.Transport, logger *events.Logger) *Manager {
 	manager := &Manager{
 		options:   options,
@@ -129,14 +131,14 @@
 		identity:  rand.Uint64() >> 1,
 		state:     NewState(),
 		changed:   make(chan struct{}),
-		contacted: make(chan struct{}),
+		synced:    make(chan struct{}),
 		followers: make(map[string]*follower),
 		positions: make(map[string]position),
-		feeds:     newFeeds(),
-		width:     1,
+		mirrors:   newMirrors(),
 
-		fetchPlaces:  make(chan struct{}, fetchesServed),
-		sourceJitter: rand.N(sourcePatience),
+		followCount:  1,
+		fetchSlots:   make(chan struct{}, maxConcurrentFetches),
+		sourceJitter: rand.N(sourceDelay),
 	}
 	transport.Handle(network, followKind, manager.serveFollow)
 	transport.Handle(network, fetchKind, manager.serveFetch)
@@ -145,19 +147,19 @@
 
 // Run follows peers and the store until the context ends.
 func (m *Manager) Run(ctx context.Context) {
-	patience := startPatience
+	delay := startupDelay
 	if m.options.FirstStart {
-		patience = firstStartPatience
+		delay = firstStartupDelay
 	}
 	m.mutex.Lock()
-	m.freshAt = time.Now().Add(patience)
+	m.lastFreshAt = time.Now().Add(delay)
 	m.mutex.Unlock()
-	ticker := time.NewTicker(adjustInterval)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
-	started := time.NewTimer(patience)
+	started := time.NewTimer(delay)
 	defer started.Stop()
 	for {
-		m.adjust(ctx)
+		m.reconcile(ctx)
 		select {
 		case <-started.C:
 		case <-ctx.Done():
@@ -167,24 +169,24 @@
 	}
 }
 
-// adjust starts and stops followers, and the source, so that what we know stays fresh.
-func (m *Manager) adjust(ctx context.Context) {
+// reconcile starts and stops followers and the source as needed to keep the catalog fresh.
+func (m *Manager) reconcile(ctx context.Context) {
 	peers := m.options.Peers()
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	peers = m.withOffers(now, peers)
-	m.state.Forget(now)
-	m.chooseWidth(now, peers)
+	peers = m.withReferrals(now, peers)
+	m.state.ExpireTombstones(now)
+	m.updateFollowCount(now, peers)
 	wanted := make(map[string]bool, len(peers))
 	for index, address := range peers {
-		if m.options.FollowAll || index < m.width {
+		if m.options.FollowAll || index < m.followCount {
 			wanted[address] = true
 		}
 	}
-	for address, known := range m.followers {
+	for address, existing := range m.followers {
 		if !wanted[address] {
-			known.stop()
+			existing.stop()
 			delete(m.followers, address)
 		}
 	}
@@ -194,15 +196,15 @@
 		}
 	}
 	reads := m.options.ReadsStore != nil && m.options.ReadsStore()
-	m.switchSource(ctx, reads || m.mustList || m.width > len(peers))
+	m.setSourceActive(ctx, reads || m.mustList || m.followCount > len(peers))
 }
 
-// withOffers puts the feeds to which this node was sent before its other peers.
-func (m *Manager) withOffers(now time.Time, peers []string) []string {
+// withReferrals returns the mirrors to which this node was referred, followed by its other peers.
+func (m *Manager) withReferrals(now time.Time, peers []string) []string {
 	if m.options.FollowAll {
 		return peers
 	}
-	ordered := m.offers.valid(now)
+	ordered := m.referrals.valid(now)
 	for _, address := range peers {
 		if !slices.Contains(ordered, address) {
 			ordered = append(ordered, address)
@@ -218,56 +220,56 @@
 	go m.follow(followContext, address, created)
 }
 
-// chooseWidth follows no more peers than it takes to have as many fresh ones as are needed. A peer that is handing
-// over a long listing counts: to ask more of them for the same listing at once would only make all of them
-// slower. While none is fresh, it follows all, and then the source.
-func (m *Manager) chooseWidth(now time.Time, peers []string) {
+// updateFollowCount sets followCount to the least number of peers that includes enough fresh ones. A peer that is
+// sending a listing counts as fresh: requesting the same listing from further peers would only slow all of them
+// down. Without a fresh peer, all are followed, and after a delay the source is read, too.
+func (m *Manager) updateFollowCount(now time.Time, peers []string) {
 	fresh := 0
 	for index, address := range peers {
-		known := m.followers[address]
-		if known == nil || !(m.fresh(now, known) || known.handingOver(now)) {
+		existing := m.followers[address]
+		if existing == nil || !(m.fresh(now, existing) || existing.transferring(now)) {
 			continue
 		}
 		fresh++
-		m.freshAt, m.beenFresh = now, true
-		if fresh == m.need() {
-			m.width = index + 1
+		m.lastFreshAt, m.everFresh = now, true
+		if fresh == m.minFreshPeers() {
+			m.followCount = index + 1
 			return
 		}
 	}
-	lost := now.Sub(m.freshAt)
+	staleFor := now.Sub(m.lastFreshAt)
 	switch {
 	case fresh > 0:
-		m.width = len(peers)
-	case lost < 0:
-		m.width = min(m.need(), len(peers))
-	case !m.beenFresh:
-		m.width = len(peers) + 1
-	case lost < sourcePatience+m.sourceJitter:
-		m.width = len(peers)
+		m.followCount = len(peers)
+	case staleFor < 0:
+		m.followCount = min(m.minFreshPeers(), len(peers))
+	case !m.everFresh:
+		m.followCount = len(peers) + 1
+	case staleFor < sourceDelay+m.sourceJitter:
+		m.followCount = len(peers)
 	default:
-		m.width = len(peers) + 1
+		m.followCount = len(peers) + 1
 	}
 }
 
-func (m *Manager) need() int {
+func (m *Manager) minFreshPeers() int {
 	if m.options.MinFreshPeers == nil {
 		return 1
 	}
 	return max(m.options.MinFreshPeers(), 1)
 }
 
-// fresh tells whether a peer had read the store a short while ago, or heard from somebody who had.
+// fresh reports whether a peer's catalog was in sync with the store less than StaleAfter ago.
 func (m *Manager) fresh(now time.Time, peer *follower) bool {
-	return now.Sub(peer.contactAt) < m.options.StaleAfter
+	return now.Sub(peer.syncedAt) < m.options.StaleAfter
 }
 
-func (m *Manager) switchSource(ctx context.Context, wanted bool) {
-	if wanted == m.sourceActive || m.options.Source == nil {
+func (m *Manager) setSourceActive(ctx context.Context, active bool) {
+	if active == m.sourceActive || m.options.Source == nil {
 		return
 	}
-	m.sourceActive = wanted
-	if !wanted {
+	m.sourceActive = active
+	if !active {
 		m.stopSource()
 		m.logger.Emit(events.CatalogSourceStopped)
 		return
@@ -284,51 +286,51 @@
 		return
 	}
 	now := time.Now()
-	var news []Entry
+	var changed []Entry
 	m.mutex.Lock()
 	for _, entry := range entries {
 		if m.state.Merge(now, entry) {
-			news = append(news, entry)
+			changed = append(changed, entry)
 		}
 	}
-	m.tell(news)
+	m.unlockAndNotify(changed)
 }
 
 // ApplyListing implements Sink.
 func (m *Manager) ApplyListing(kind string, entries []Entry, revision int64) {
 	now := time.Now()
 	listed := make(map[string]bool, len(entries))
-	var news []Entry
+	var changed []Entry
 	m.mutex.Lock()
 	for _, entry := range entries {
 		listed[entry.Key] = true
-		if !entry.unchanged() && m.state.Merge(now, entry) {
-			news = append(news, entry)
+		if !entry.isPlaceholder() && m.state.Merge(now, entry) {
+			changed = append(changed, entry)
 		}
 	}
-	news = append(news, m.state.RemoveMissing(now, kind, listed, revision)...)
-	m.tell(news)
+	changed = append(changed, m.state.RemoveMissing(now, kind, listed, revision)...)
+	m.unlockAndNotify(changed)
 }
 
-// tell wakes those who wait and calls the subscriber; it unlocks the mutex that its caller holds.
-func (m *Manager) tell(news []Entry) {
-	if len(news) > 0 {
+// unlockAndNotify wakes held requests, unlocks mutex, which the caller must hold, and calls OnChange.
+func (m *Manager) unlockAndNotify(entries []Entry) {
+	if len(entries) > 0 {
 		close(m.changed)
 		m.changed = make(chan struct{})
 	}
 	m.mutex.Unlock()
-	m.telling.Lock()
-	defer m.telling.Unlock()
-	for _, entry := range news {
-		if !m.overtaken(entry) {
+	m.notifyMutex.Lock()
+	defer m.notifyMutex.Unlock()
+	for _, entry := range entries {
+		if !m.superseded(entry) {
 			m.options.OnChange(entry)
 		}
 	}
 }
 
-// overtaken reports whether there is a newer version of an entry. Whoever merged that tells of it: a subscriber that heard the
-// older one later would go back to it.
-func (m *Manager) overtaken(entry Entry) bool {
+// superseded reports whether there is a newer version of an entry. The goroutine that merged the newer version
+// calls OnChange for it, possibly first; calling it for the older one afterwards would revert the change.
+func (m *Manager) superseded(entry Entry) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.Revision(entry.Key) > entry.Revision
@@ -339,35 +341,34 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	m.heardAt, m.mustList = now, false
-	m.noteContact(now)
+	m.lastResponseAt, m.mustList = now, false
+	m.recordSync(now)
 }
 
-// noteContact takes a newer contact and wakes followers, whose knowledge is as fresh by it. The caller holds the
-// mutex.
-func (m *Manager) noteContact(at time.Time) {
-	if !at.After(m.contactAt) {
+// recordSync advances syncedAt and wakes held requests to pass it on to followers. The caller must hold mutex.
+func (m *Manager) recordSync(at time.Time) {
+	if !at.After(m.syncedAt) {
 		return
 	}
-	if before := m.contactAt; m.options.OnOutageEnd != nil && !before.IsZero() && at.Sub(before) > m.options.StaleAfter {
+	if before := m.syncedAt; m.options.OnOutageEnd != nil && !before.IsZero() && at.Sub(before) > m.options.StaleAfter {
 		m.options.OnOutageEnd(before)
 	}
-	m.contactAt = at
-	close(m.contacted)
-	m.contacted = make(chan struct{})
+	m.syncedAt = at
+	close(m.synced)
+	m.synced = make(chan struct{})
 }
 
-// Age is how long ago the store was read, here or by a peer that told us.
+// Age returns the time since the catalog was last known to be in sync with the store, directly or through a peer.
 func (m *Manager) Age() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.contactAt.IsZero() {
+	if m.syncedAt.IsZero() {
 		return unknownAge
 	}
-	return time.Since(m.contactAt)
+	return time.Since(m.syncedAt)
 }
 
-// Get returns an entry that is not removed.
+// Get returns the entry with a key unless it was removed.
 func (m *Manager) Get(key string) (Entry, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/catalog/missed_test.go
+++ b/internal/catalog/missed_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// listingSource is a store that shows no engine. It answers once it can be reached.
+// listingSource is a Source without engines that responds only while reachable.
 type listingSource struct {
 	reachable atomic.Bool
 	listings  atomic.Int64
@@ -35,47 +35,47 @@
 	}
 }
 
-// A node that was cut off from everybody for longer than removals are remembered can't hear of them from its peers. It lists
-// the store once, though peers are fresh; one that was cut off for less does not.
-func TestNodeThatMissedRemovalsListsTheStore(t *testing.T) {
-	for name, missed := range map[string]bool{"for long": true, "for a while": false} {
+// A node that was partitioned for longer than tombstones are kept must list the store even if its peers are fresh, since they
+// can't report removals any more. After a shorter partition it must not.
+func TestStoreIsListedAfterMissedTombstones(t *testing.T) {
+	for name, missed := range map[string]bool{"long partition": true, "short partition": false} {
 		t.Run(name, func(t *testing.T) {
 			reader := startNode(t, true, func() []string { return nil })
 			eventually(t, "the reader's source runs", reader.source.active)
-			var cut atomic.Bool
+			var partitioned atomic.Bool
 			store := &listingSource{}
 			follower := startNodeWith(t, func(options *Options) {
 				options.Source = store
 				options.Peers = func() []string {
-					if cut.Load() {
+					if partitioned.Load() {
 						return nil
 					}
 					return []string{reader.address}
 				}
 			})
 			reader.source.change(entry("engine/e1", 9, "here"))
-			eventually(t, "the follower knows it", func() bool { return follower.revision("engine/e1") == 9 })
+			eventually(t, "the follower has the engine", func() bool { return follower.revision("engine/e1") == 9 })
 
-			cut.Store(true)
-			eventually(t, "the follower follows nobody", func() bool {
+			partitioned.Store(true)
+			eventually(t, "the follower has no peers", func() bool {
 				follower.manager.mutex.Lock()
 				defer follower.manager.mutex.Unlock()
 				return len(follower.manager.followers) == 0
 			})
 			reader.source.change(entry("engine/e1", 11, ""), entry("engine/e2", 10, "another"))
 			if missed {
-				reader.manager.passRemovalTime()
-				follower.manager.passRemovalTime()
+				reader.manager.expireTombstones()
+				follower.manager.expireTombstones()
 			}
-			cut.Store(false)
-			eventually(t, "the follower has the news", func() bool { return follower.revision("engine/e2") == 10 })
+			partitioned.Store(false)
+			eventually(t, "the follower has the new engine", func() bool { return follower.revision("engine/e2") == 10 })
 			follower.waitForSourceToStop(2 * time.Second)
 			store.reachable.Store(true)
-			eventually(t, "the engine is gone", func() bool {
+			eventually(t, "the engine is removed", func() bool {
 				_, found := follower.manager.Get("engine/e1")
 				return !found
 			})
-			eventually(t, "the store is left to others again", func() bool { return !follower.readsStore() })
+			eventually(t, "the follower stops reading the store", func() bool { return !follower.readsStore() })
 			if !missed {
 				assert.Equal(t, store.listings.Load(), int64(0))
 			}
@@ -89,9 +89,9 @@
 	return n.manager.sourceActive
 }
 
-// waitForSourceToStop waits until the node leaves the store to others, or keeps to it for so long.
-func (n *testNode) waitForSourceToStop(longest time.Duration) {
-	deadline := time.NewTimer(longest)
+// waitForSourceToStop waits until the node does not read the store, or until the timeout.
+func (n *testNode) waitForSourceToStop(timeout time.Duration) {
+	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
@@ -104,10 +104,10 @@
 	}
 }
 
-// passRemovalTime makes the manager's past older than removals are remembered.
-func (m *Manager) passRemovalTime() {
+// expireTombstones drops the manager's tombstones and makes its last response older than their TTL.
+func (m *Manager) expireTombstones() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.state.Forget(time.Now().Add(2 * removedFor))
-	m.heardAt = m.heardAt.Add(-2 * removedFor)
+	m.state.ExpireTombstones(time.Now().Add(2 * tombstoneTTL))
+	m.lastResponseAt = m.lastResponseAt.Add(-2 * tombstoneTTL)
 }
--- a/internal/catalog/order_test.go
+++ b/internal/catalog/order_test.go
@@ -12,53 +12,53 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// orderRecorder hears changes as a subscriber does that takes each for the newest.
-type orderRecorder struct {
+// changeRecorder records the revisions that are passed to OnChange.
+type changeRecorder struct {
 	mutex sync.Mutex
-	heard map[string][]int64
-	// entered is closed when the change of heldKey is heard, which then waits for release.
+	byKey map[string][]int64
+	// entered is closed when OnChange is called for blockedKey; the call returns when release is closed.
 	entered, release chan struct{}
 }
 
-const heldKey = "engine/held"
+const blockedKey = "engine/blocked"
 
-func (r *orderRecorder) onChange(changed Entry) {
-	if changed.Key == heldKey {
+func (r *changeRecorder) onChange(changed Entry) {
+	if changed.Key == blockedKey {
 		close(r.entered)
 		<-r.release
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.heard[changed.Key] = append(r.heard[changed.Key], changed.Revision)
+	r.byKey[changed.Key] = append(r.byKey[changed.Key], changed.Revision)
 }
 
-func (r *orderRecorder) revisions(key string) []int64 {
+func (r *changeRecorder) revisions(key string) []int64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]int64(nil), r.heard[key]...)
+	return append([]int64(nil), r.byKey[key]...)
 }
 
-func newRecorded(t *testing.T) (*Manager, *orderRecorder) {
+func newRecordedManager(t *testing.T) (*Manager, *changeRecorder) {
 	t.Helper()
-	recorder := &orderRecorder{heard: make(map[string][]int64), entered: make(chan struct{}), release: make(chan struct{})}
+	recorder := &changeRecorder{byKey: make(map[string][]int64), entered: make(chan struct{}), release: make(chan struct{})}
 	network := transport.New(transport.Options{Cluster: "test", NodeID: "n", Logger: events.Discard()})
 	t.Cleanup(network.Close)
 	return NewManager(Options{OnChange: recorder.onChange}, network, events.Discard()), recorder
 }
 
-// A subscriber hears no older version after a newer one, though two feeds bring them at once and the first is held up between
-// merging its version and telling of it.
-func TestSubscriberHearsNoOlderVersionAfterANewerOne(t *testing.T) {
+// OnChange must not be called for an older version after a newer one, even if the goroutine that merged the older one
+// is delayed before it calls OnChange.
+func TestOnChangeSkipsSupersededVersion(t *testing.T) {
 	const key = "configuration/current"
 	for name, newer := range map[string]Entry{"a change": entry(key, 6, "six"), "a removal": entry(key, 6, "")} {
 		t.Run(name, func(t *testing.T) {
-			manager, recorder := newRecorded(t)
-			var feeds sync.WaitGroup
-			feeds.Go(func() { manager.Apply([]Entry{entry(heldKey, 1, "x"), entry(key, 5, "five")}) })
+			manager, recorder := newRecordedManager(t)
+			var updates sync.WaitGroup
+			updates.Go(func() { manager.Apply([]Entry{entry(blockedKey, 1, "x"), entry(key, 5, "five")}) })
 			<-recorder.entered
-			told := make(chan struct{})
-			feeds.Go(func() {
-				defer close(told)
+			applied := make(chan struct{})
+			updates.Go(func() {
+				defer close(applied)
 				manager.Apply([]Entry{newer})
 			})
 			eventually(t, "the newer version is merged", func() bool {
@@ -67,26 +67,26 @@
 				return manager.state.Revision(key) == 6
 			})
 			select {
-			case <-told:
+			case <-applied:
 			case <-time.After(200 * time.Millisecond):
-				// The second feed waits for the first.
+				// The second update waits for the first.
 			}
 			close(recorder.release)
-			feeds.Wait()
-			heard := recorder.revisions(key)
-			assert.Equal(t, heard[len(heard)-1], int64(6), "%v", heard)
+			updates.Wait()
+			recorded := recorder.revisions(key)
+			assert.Equal(t, recorded[len(recorded)-1], int64(6), "%v", recorded)
 		})
 	}
 }
 
-// Many feeds at once, each with some of the versions: what a subscriber hears of an entry only rises, and ends with the newest.
-func TestVersionsOnlyRiseWhateverTheFeeds(t *testing.T) {
-	const versions, keys, feedsAtOnce = 200, 5, 8
-	manager, recorder := newRecorded(t)
-	var feeds sync.WaitGroup
-	for feed := range feedsAtOnce {
-		feeds.Go(func() {
-			for version := 1 + feed%2; version <= versions; version += 1 + feed%3 {
+// With concurrent updates, the revisions passed to OnChange must be strictly increasing and end with the newest.
+func TestOnChangeOrderWithConcurrentUpdates(t *testing.T) {
+	const versions, keys, updaters = 200, 5, 8
+	manager, recorder := newRecordedManager(t)
+	var updates sync.WaitGroup
+	for updater := range updaters {
+		updates.Go(func() {
+			for version := 1 + updater%2; version <= versions; version += 1 + updater%3 {
 				var batch []Entry
 				for key := range keys {
 					batch = append(batch, entry(Key(EngineKind, strconv.Itoa(key)), int64(version), "v"))
@@ -95,13 +95,13 @@
 			}
 		})
 	}
-	feeds.Go(func() { manager.ApplyListing(EngineKind, nil, versions/2) })
-	feeds.Wait()
+	updates.Go(func() { manager.ApplyListing(EngineKind, nil, versions/2) })
+	updates.Wait()
 	for key := range keys {
-		heard := recorder.revisions(Key(EngineKind, strconv.Itoa(key)))
-		for index := 1; index < len(heard); index++ {
-			assert.Assert(t, heard[index] > heard[index-1], "%d after %d", heard[index], heard[index-1])
+		recorded := recorder.revisions(Key(EngineKind, strconv.Itoa(key)))
+		for index := 1; index < len(recorded); index++ {
+			assert.Assert(t, recorded[index] > recorded[index-1], "%d after %d", recorded[index], recorded[index-1])
 		}
-		assert.Equal(t, heard[len(heard)-1], int64(versions))
+		assert.Equal(t, recorded[len(recorded)-1], int64(versions))
 	}
 }
--- a/internal/catalog/timing.go
+++ b/internal/catalog/timing.go
@@ -3,36 +3,39 @@
 import "time"
 
 const (
-	// defaultKnowWithin is the bound where a deployment gives none.
-	defaultKnowWithin = 2 * time.Second
-	// The parts of the bound that a watch, a replica and a gateway may take. A change that happens just after a
-	// reader of the store was cut off comes to a gateway by another reader at once. If all readers are cut
-	// off, replicas notice after six tenths of the bound and read the store; a gateway leaves them a tenth more
-	// before it does the same, and has the rest to list the store. In calm times knowledge is hardly older than a
-	// watch takes, for contact is passed on as it comes.
+	// defaultPropagationBound applies if a deployment sets no bound.
+	defaultPropagationBound = 2 * time.Second
+	// The shares of the bound after which a watch is answered, and after which replicas and gateways treat their
+	// catalog as stale. If one reader of the store is partitioned from it, gateways get changes from another reader. If
+	// all readers are, the replicas become stale first and read the store; gateways leave them time for that
+	// before they do the same, and use the rest of the bound to list the store. Without faults,
+	// the age of a catalog hardly exceeds the wait of a watch, since sync times are passed on at once.
 	watchShare        = 1.0 / 3
 	replicaStaleShare = 0.6
 	gatewayStaleShare = 0.7
 )
 
-// Timing says how old what nodes know may become, so that a change in the store is known everywhere within a bound.
-type Timing struct{ within time.Duration }
+// Timing derives the timeouts of catalog replication from a bound on the time in which a change in the store must reach
+// all nodes.
+type Timing struct{ bound time.Duration }
 
-// NewTiming returns the Timing for a bound; 0 stands for 2 s.
-func NewTiming(within time.Duration) Timing {
-	if within <= 0 {
-		within = defaultKnowWithin
+// NewTiming returns the Timing for a bound. If the bound is not positive, a default of 2 s applies.
+func NewTiming(bound time.Duration) Timing {
+	if bound <= 0 {
+		bound = defaultPropagationBound
 	}
-	return Timing{within: within}
+	return Timing{bound: bound}
 }
 
-// WatchWait is how long the store may hold a watch.
+// WatchWait returns how long the store may hold a watch request without changes.
 func (t Timing) WatchWait() time.Duration { return t.share(watchShare) }
 
-// ReplicaStaleAfter is Options.StaleAfter of a replica.
+// ReplicaStaleAfter returns Options.StaleAfter for replicas.
 func (t Timing) ReplicaStaleAfter() time.Duration { return t.share(replicaStaleShare) }
 
-// GatewayStaleAfter is Options.StaleAfter of a gateway.
+// GatewayStaleAfter returns Options.StaleAfter for gateways.
 func (t Timing) GatewayStaleAfter() time.Duration { return t.share(gatewayStaleShare) }
 
-func (t Timing) share(part float64) time.Duration { return time.Duration(part * float64(t.within)) }
+func (t Timing) share(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(t.bound))
+}
