--- a/internal/machinelist/fuzz_test.go
+++ b/internal/machinelist/fuzz_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// FuzzList: whatever the platform's list answers, it is a list or a failure; no status but 200 counts.
+// FuzzList checks that arbitrary responses are handled, and that only status 200 is accepted.
 func FuzzList(f *testing.F) {
 	f.Add(http.StatusOK, []byte(`[{"address":"m1","state":"leaving"}]`))
 	f.Add(http.StatusOK, []byte(`{"address":1}`))
@@ -21,7 +21,7 @@
 		}))
 		defer server.Close()
 		if _, err := NewClient(server.URL).List(t.Context()); err == nil && status != http.StatusOK {
-			t.Fatalf("status %d counted as a list", status)
+			t.Fatalf("status %d was accepted", status)
 		}
 	})
 }
--- a/internal/machinelist/machinelist.go
+++ b/internal/machinelist/machinelist.go
@@ -1,5 +1,5 @@
-// Package machinelist is the port to the platform's list of live and leaving machines. The list
-// lags, so that it is a hint only: it can make a node begin its own planned stop, and nothing else.
+// Package machinelist reads the platform's list of live and leaving machines. The list may be out of date, so it is
+// only a hint: all that it can do is make a node start its own planned shutdown.
 package machinelist
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is what the platform plans for a machine.
+// State is the state of a machine in the platform's list.
 type State string
 
-// The states that matter here; any other counts as live.
+// The known states. Any other state is treated as Live.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -27,41 +27,41 @@
 	State   State  `json:"state"`
 }
 
-// Lister is what the product needs of the platform.
+// Lister reads the machine list.
 type Lister interface {
 	List(ctx context.Context) ([]Machine, error)
 }
 
 const (
-	pollInterval = 5 * time.Second
-	listTimeout  = 3 * time.Second
-	maxListBytes = 4 << 20
+	pollInterval   = 5 * time.Second
+	requestTimeout = 3 * time.Second
+	maxListBytes   = 4 << 20
 )
 
-// ErrUnavailable means that the list could not be read.
+// ErrUnavailable means that the list was answered with an HTTP status other than 200.
 type ErrUnavailable struct{ Status int }
 
 // Error implements error.
 func (e *ErrUnavailable) Error() string { return "machine list: " + http.StatusText(e.Status) }
 
-// Client reads the list as JSON.
+// Client reads the list as JSON over HTTP.
 type Client struct {
-	endpoint string
-	client   *http.Client
+	url    string
+	client *http.Client
 }
 
-// NewClient returns the adapter for a list at endpoint.
-func NewClient(endpoint string) *Client {
-	return &Client{endpoint: endpoint, client: &http.Client{Timeout: listTimeout}}
+// NewClient returns a Client for the list at a URL.
+func NewClient(url string) *Client {
+	return &Client{url: url, client: &http.Client{Timeout: requestTimeout}}
 }
 
 // List implements Lister.
-func (h *Client) List(ctx context.Context) ([]Machine, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, h.endpoint, nil)
+func (c *Client) List(ctx context.Context) ([]Machine, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "building the request")
 	}
-	response, err := h.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "reading the machine list")
 	}
@@ -74,19 +74,20 @@
 	return machines, errors.Wrap(err, "decoding the machine list")
 }
 
-// Watch calls leaving once when the list says that a machine is to leave, and returns then or when
-// the context ends. Failures are only reported: a list that is away says nothing.
-func Watch(ctx context.Context, lister Lister, address string, leaving func(), failed func(error)) {
+// Watch polls the list until the machine with an address is leaving, then calls onLeaving and returns. It also returns
+// when the context ends. Errors are passed to onError and otherwise ignored, because an unavailable list carries no
+// information about the machine.
+func Watch(ctx context.Context, lister Lister, address string, onLeaving func(), onError func(error)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		machines, err := lister.List(ctx)
 		if err != nil && ctx.Err() == nil {
-			failed(err)
+			onError(err)
 		}
 		for _, machine := range machines {
 			if machine.Address == address && machine.State == Leaving {
-				leaving()
+				onLeaving()
 				return
 			}
 		}
--- a/internal/machinelist/machinelist_test.go
+++ b/internal/machinelist/machinelist_test.go
@@ -13,53 +13,54 @@
 	"github.com/mountstile/mountstile/internal/standin/machineserver"
 )
 
-// script answers with one list after the other; nil means a failure.
-type script struct {
+// fakeLister returns the given lists one after the other, then the last one again; nil means an error.
+type fakeLister struct {
 	lists [][]Machine
 	calls int
 }
 
-func (s *script) List(context.Context) ([]Machine, error) {
-	list := s.lists[min(s.calls, len(s.lists)-1)]
-	s.calls++
+func (f *fakeLister) List(context.Context) ([]Machine, error) {
+	list := f.lists[min(f.calls, len(f.lists)-1)]
+	f.calls++
 	if list == nil {
 		return nil, &ErrUnavailable{Status: 503}
 	}
 	return list, nil
 }
 
-// TestLeavingIsHeardOnce in virtual time, with the list away in between.
-func TestLeavingIsHeardOnce(t *testing.T) {
+// Watch must survive a failed poll and call onLeaving exactly once.
+func TestWatchReportsLeavingOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lister := &script{lists: [][]Machine{{{"m1", Live}, {"m2", Leaving}}, nil, {{"m1", Leaving}}}}
+		lister := &fakeLister{lists: [][]Machine{{{"m1", Live}, {"m2", Leaving}}, nil, {{"m1", Leaving}}}}
 		started := time.Now()
-		heard, failures := 0, 0
-		Watch(t.Context(), lister, "m1", func() { heard++ }, func(error) { failures++ })
-		assert.Equal(t, heard, 1)
+		calls, failures := 0, 0
+		Watch(t.Context(), lister, "m1", func() { calls++ }, func(error) { failures++ })
+		assert.Equal(t, calls, 1)
 		assert.Equal(t, failures, 1)
 		assert.Equal(t, time.Since(started), 2*pollInterval)
 	})
 }
 
-// TestListIsAHintOnly: a list that lacks the machine, or is away, changes nothing.
-func TestListIsAHintOnly(t *testing.T) {
+// A list that is unavailable or lacks the machine must not be taken as a sign that the machine is leaving.
+func TestWatchIgnoresMissingMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 		defer cancel()
-		lister := &script{lists: [][]Machine{nil, {}, {{"m2", Leaving}}}}
-		Watch(ctx, lister, "m1", func() { t.Fatal("the machine was not to leave") }, func(error) {})
+		lister := &fakeLister{lists: [][]Machine{nil, {}, {{"m2", Leaving}}}}
+		Watch(ctx, lister, "m1", func() { t.Fatal("onLeaving was called") }, func(error) {})
 	})
 }
 
-func TestStandInSpeaksTheSameForm(t *testing.T) {
+// The list that the stand-in serves must be readable by Client.
+func TestClientWithStandIn(t *testing.T) {
 	server := machineserver.New(0)
 	server.Set(machineserver.Machine{Address: "m1", State: machineserver.Leaving})
-	running := httptest.NewServer(server)
-	defer running.Close()
-	machines, err := NewClient(running.URL + machineserver.MachinesPath).List(t.Context())
+	httpServer := httptest.NewServer(server)
+	defer httpServer.Close()
+	machines, err := NewClient(httpServer.URL + machineserver.MachinesPath).List(t.Context())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, machines, []Machine{{"m1", Leaving}})
-	_, err = NewClient(running.URL + "/nothing").List(t.Context())
+	_, err = NewClient(httpServer.URL + "/nothing").List(t.Context())
 	var unavailable *ErrUnavailable
 	assert.Assert(t, errors.As(err, &unavailable), "%v", err)
 }
