--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -84,8 +84,8 @@
 			options.Network, options.Logger),
 	}
 	node.catalog = catalog.NewManager(catalog.Options{
-		Peers: node.peers, Need: node.turns.Copies, Self: catalog.Feed{Zone: options.Zone}, Source: options.Source, StaleAfter: options.StaleAfter, OnChange: node.apply,
-		FirstStart: options.FirstStart, OnOutage: registry.RecordOutage,
+		Peers: node.peers, MinFreshPeers: node.turns.Copies, Self: catalog.Endpoint{Zone: options.Zone}, Source: options.Source, StaleAfter: options.StaleAfter, OnChange: node.apply,
+		FirstStart: options.FirstStart, OnOutageEnd: registry.RecordOutage,
 	}, options.Network, options.Logger)
 	node.server = New(Options{
 		Table: node.table.Load, RoutesReady: node.routesReady, CallerProtocol: options.CallerProtocol, Registry: node.registry, Turns: node.turns,
--- a/internal/ingress/startup_test.go
+++ b/internal/ingress/startup_test.go
@@ -31,7 +31,7 @@
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if !s.disconnected.Load() {
-			sink.Contact()
+			sink.Synced()
 		}
 		select {
 		case <-ctx.Done():
