--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -204,7 +204,7 @@
 		if member.ID == p.options.Self.ID {
 			response, failure = p.Owner.Reserve(ctx, request)
 		} else {
-			response, failure = owner.Ask(ctx, p.Transport, member.Address, request)
+			response, failure = owner.ReserveRemote(ctx, p.Transport, member.Address, request)
 		}
 		if ctx.Err() != nil && !response.Granted {
 			// The owner may have granted the place meanwhile, or grant it later.
@@ -230,5 +230,5 @@
 		p.Owner.Release(request)
 		return
 	}
-	owner.Tell(p.Transport, member.Address, request)
+	owner.ReleaseRemote(p.Transport, member.Address, request)
 }
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -33,16 +33,16 @@
 // leaves the line of one when further ones come: else the calls that made them come would be the last
 // to use them.
 func (s *Server) placeOnLoaded(ctx context.Context, request BeginRequest, service *resource.Service, pool *resource.Pool, description scheduler.Call, rules *policy.Policy) (scheduler.Decision, error) {
-	deadline := time.Now().Add(description.Wait)
+	deadline := time.Now().Add(description.MaxWait)
 	// A call that has waited long is near the front of its line, and may be refused at another one.
-	lastMove := deadline.Add(-description.Wait / 2)
+	lastMove := deadline.Add(-description.MaxWait / 2)
 	for {
 		loaded, err := s.loadedEngines(ctx, request, service.Pool, pool, deadline)
 		if err != nil {
 			return scheduler.Decision{}, err
 		}
 		placing, stop := s.untilMoreEngines(ctx, service.Pool, pool, description.Model, len(loaded), lastMove)
-		description.Wait = max(0, time.Until(deadline))
+		description.MaxWait = max(0, time.Until(deadline))
 		decision, err := s.options.Scheduler.Place(placing, description, &resource.Pool{Engines: loaded}, rules)
 		again := err != nil && ctx.Err() == nil && context.Cause(placing) == errMoreEngines
 		stop()
--- a/internal/coordinator/placement.go
+++ b/internal/coordinator/placement.go
@@ -72,8 +72,8 @@
 		UsedTokens:   summary.Used,
 		Messages:     summary.Messages,
 		AgeSeconds:   now.Sub(time.UnixMilli(summary.CreatedAt)).Seconds(),
-		Wait:         seconds(service.QueueSeconds),
-		Limit:        seconds(service.CallSeconds),
+		MaxWait:      seconds(service.QueueSeconds),
+		Timeout:      seconds(service.CallSeconds),
 	}
 }
 
@@ -82,7 +82,7 @@
 	summary, _ := s.machine(request.Partition).Summary(request.Admit.Program)
 	description := DescribeCall(request, call, summary, service, time.Now())
 	description.Avoid = earlier.avoid
-	description.Wait = max(0, description.Wait-earlier.waited)
+	description.MaxWait = max(0, description.MaxWait-earlier.waited)
 	if tenant, known := set.Tenant(request.Admit.Program.Tenant); known {
 		description.Weight = tenant.Weight
 	}
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -203,7 +203,7 @@
 	timer := time.NewTimer(gapWait)
 	defer timer.Stop()
 	for {
-		changed := machine.Changed(request.Admit.Program)
+		changed := machine.Watch(request.Admit.Program)
 		result, err := s.propose(ctx, request.Partition, program.Command{Admit: &request.Admit})
 		if err != nil || result.Error == nil || result.Error.Code != apierr.SequenceGap {
 			return result, err
@@ -247,7 +247,7 @@
 	ticker := time.NewTicker(leadershipCheck)
 	defer ticker.Stop()
 	for {
-		changed := machine.Changed(request.Admit.Program)
+		changed := machine.Watch(request.Admit.Program)
 		current, known := machine.Call(request.Admit.Program, call.ID)
 		if !known {
 			return BeginResponse{}, apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "the call's record has expired")
@@ -369,8 +369,8 @@
 	ticker := time.NewTicker(leadershipCheck)
 	defer ticker.Stop()
 	for {
-		changed := machine.Changed(request.Admit.Program)
-		earlier := machine.OpenBefore(request.Admit.Program, call.Sequence)
+		changed := machine.Watch(request.Admit.Program)
+		earlier := machine.OpenCallsBefore(request.Admit.Program, call.Sequence)
 		if len(earlier) == 0 {
 			return nil
 		}
--- a/internal/coordinator/server_test.go
+++ b/internal/coordinator/server_test.go
@@ -65,7 +65,7 @@
 	service := &resource.Service{QueueSeconds: 10}
 	wait := func(waitedMillis int64) time.Duration {
 		earlier := RetryRequest{WaitedMillis: waitedMillis}.pastAttempts()
-		return server.describe(BeginRequest{}, &program.Call{}, server.options.Config.Current().Set, service, earlier).Wait
+		return server.describe(BeginRequest{}, &program.Call{}, server.options.Config.Current().Set, service, earlier).MaxWait
 	}
 	assert.Equal(t, wait(0), 10*time.Second)
 	assert.Equal(t, wait(4000), 6*time.Second)
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -152,7 +152,7 @@
 		IdempotencyKey: e.identity.idempotencyKey,
 		BodyHash:       hash,
 		Repeatable:     e.identity.repeatable == nil || *e.identity.repeatable,
-		Reserve:        program.MostTokens(messages) + e.request.MaxTokens,
+		Reserve:        program.TokenUpperBound(messages) + e.request.MaxTokens,
 		Limits:         e.identity.limits(tenant),
 		OwnTokens:      e.identity.ownTokens,
 		Messages:       messages,
--- a/internal/lab/experiment/virtual.go
+++ b/internal/lab/experiment/virtual.go
@@ -57,7 +57,7 @@
 // the node owns.
 type simulatedNode struct {
 	scheduler *scheduler.Scheduler
-	lines     *owner.Lines
+	lines     *owner.Queues
 }
 
 // runVirtual plays one policy in virtual time.
@@ -120,7 +120,7 @@
 			Zone: fmt.Sprintf("zone-%d", number%s.file.Zones+1), Reserver: s, Clock: s.clock,
 			Random: rand.New(rand.NewPCG(s.file.Seed+repeat, uint64(number))), Logger: events.Discard(),
 		}),
-		lines: owner.NewLines(owner.LinesOptions{Clock: s.clock, Find: s.findEngine, Gone: func(string) bool { return false }, Logger: events.Discard()}),
+		lines: owner.NewQueues(owner.QueuesOptions{Clock: s.clock, FindEngine: s.findEngine, GatewayLost: func(string) bool { return false }, Logger: events.Discard()}),
 	}
 }
 
--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -21,7 +21,7 @@
 	// StepMicros is how long the engine takes from one token to the next; 0 if not known lately.
 	StepMicros int64 `json:"p,omitempty"`
 	// Open tells that the circuit breaker keeps work away.
-	Open bool `json:"o,omitempty"`
+	BreakerOpen bool `json:"o,omitempty"`
 	// Draining engines get no new work.
 	Draining bool `json:"d,omitempty"`
 }
@@ -85,12 +85,12 @@
 
 func (e *engineState) load(now time.Time) Load {
 	load := Load{
-		Engine:   e.name,
-		Running:  len(e.running),
-		Waiting:  len(e.line),
-		Slots:    e.slots,
-		Open:     now.Before(e.openUntil),
-		Draining: e.draining,
+		Engine:      e.name,
+		Running:     len(e.running),
+		Waiting:     len(e.line),
+		Slots:       e.slots,
+		BreakerOpen: now.Before(e.openUntil),
+		Draining:    e.draining,
 	}
 	if now.Sub(e.stepAt) < stepTime {
 		load.StepMicros = int64(e.stepMicros)
--- a/internal/owner/engine_test.go
+++ b/internal/owner/engine_test.go
@@ -52,11 +52,11 @@
 // TestWithdrawalWorksInAnyOrder: a request that is withdrawn in line, after its grant, or before it came,
 // holds no place; another request of the same call keeps its own.
 func TestWithdrawalWorksInAnyOrder(t *testing.T) {
-	lines := NewLines(LinesOptions{
-		Clock:  clock.Real{},
-		Find:   func(name string) (resource.Engine, bool) { return resource.Engine{Name: name, Slots: 1}, true },
-		Gone:   func(string) bool { return false },
-		Logger: events.Discard(),
+	lines := NewQueues(QueuesOptions{
+		Clock:       clock.Real{},
+		FindEngine:  func(name string) (resource.Engine, bool) { return resource.Engine{Name: name, Slots: 1}, true },
+		GatewayLost: func(string) bool { return false },
+		Logger:      events.Discard(),
 	})
 	reserve := func(call string, ticket uint64, wait time.Duration) chan bool {
 		granted := make(chan bool, 1)
@@ -162,11 +162,11 @@
 // breaker stays open for longer, and one that may wait for long stays in line.
 func TestNobodyWaitsLongerForAnOpenBreaker(t *testing.T) {
 	now := start
-	lines := NewLines(LinesOptions{
-		Clock:  clock.NewVirtual(now),
-		Find:   func(name string) (resource.Engine, bool) { return resource.Engine{Name: name, Slots: 1}, true },
-		Gone:   func(string) bool { return false },
-		Logger: events.Discard(),
+	lines := NewQueues(QueuesOptions{
+		Clock:       clock.NewVirtual(now),
+		FindEngine:  func(name string) (resource.Engine, bool) { return resource.Engine{Name: name, Slots: 1}, true },
+		GatewayLost: func(string) bool { return false },
+		Logger:      events.Discard(),
 	})
 	for _, id := range []string{"a", "b", "c"} {
 		_, response, err := lines.enter(ReserveRequest{Engine: "e", CallID: id})
@@ -177,7 +177,7 @@
 	item, response, err := lines.enter(ReserveRequest{Engine: "e", CallID: "hasty", WaitMillis: 500})
 	assert.NilError(t, err)
 	assert.Assert(t, item == nil && !response.Granted)
-	assert.Assert(t, response.Loads[0].Open && response.Loads[0].WaitMillis == breakerMinOpen.Milliseconds())
+	assert.Assert(t, response.Loads[0].BreakerOpen && response.Loads[0].WaitMillis == breakerMinOpen.Milliseconds())
 	item, _, err = lines.enter(ReserveRequest{Engine: "e", CallID: "patient", WaitMillis: 5000})
 	assert.NilError(t, err)
 	assert.Assert(t, item != nil)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -70,18 +70,18 @@
 
 // Owner answers other nodes about the engines that this node owns.
 type Owner struct {
-	*Lines
+	*Queues
 	config *configuration.Manager
 }
 
 // New returns an Owner and registers its messages.
 func New(network *transport.Transport, members *membership.Manager, config *configuration.Manager, logger *events.Logger) *Owner {
 	owner := &Owner{config: config}
-	owner.Lines = NewLines(LinesOptions{
-		Clock:  clock.Real{},
-		Find:   owner.find,
-		Gone:   func(gateway string) bool { return isGone(members.View(), gateway) },
-		Logger: logger,
+	owner.Queues = NewQueues(QueuesOptions{
+		Clock:       clock.Real{},
+		FindEngine:  owner.find,
+		GatewayLost: func(gateway string) bool { return isGone(members.View(), gateway) },
+		Logger:      logger,
 	})
 	transport.Handle(network, reserveKind, func(ctx context.Context, _ transport.Peer, request ReserveRequest) (ReserveResponse, error) {
 		return owner.Reserve(ctx, request)
@@ -125,13 +125,13 @@
 	}
 }
 
-// Ask reserves at the owner on another node.
-func Ask(ctx context.Context, network *transport.Transport, address string, request ReserveRequest) (ReserveResponse, error) {
+// ReserveRemote reserves at the owner on another node.
+func ReserveRemote(ctx context.Context, network *transport.Transport, address string, request ReserveRequest) (ReserveResponse, error) {
 	return transport.Call[ReserveResponse](ctx, network, address, reserveKind, request)
 }
 
-// Tell releases at the owner on another node. A lost message is made good by the reservation's
+// ReleaseRemote releases at the owner on another node. A lost message is made good by the reservation's
 // expiry.
-func Tell(network *transport.Transport, address string, request ReleaseRequest) {
+func ReleaseRemote(network *transport.Transport, address string, request ReleaseRequest) {
 	network.Send(address, releaseKind, request)
 }
--- a/internal/owner/lines.go
+++ b/internal/owner/queues.go
@@ -13,149 +13,149 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// LinesOptions configure Lines.
-type LinesOptions struct {
+// QueuesOptions configure Queues.
+type QueuesOptions struct {
 	Clock clock.Clock
 	// Find returns an engine as configured now.
-	Find func(name string) (resource.Engine, bool)
+	FindEngine func(name string) (resource.Engine, bool)
 	// Gone reports whether a gateway is known to be lost.
-	Gone   func(gateway string) bool
-	Logger *events.Logger
+	GatewayLost func(gateway string) bool
+	Logger      *events.Logger
 }
 
-// Lines keeps the engines that this node was asked about, and the calls that wait for them. It is
+// Queues keeps the engines that this node was asked about, and the calls that wait for them. It is
 // safe for concurrent use.
-type Lines struct {
-	options LinesOptions
+type Queues struct {
+	options QueuesOptions
 
 	mutex   sync.Mutex
 	engines map[string]*engineState
 }
 
-// NewLines returns Lines without engines; each appears with the first reservation.
-func NewLines(options LinesOptions) *Lines {
-	return &Lines{options: options, engines: make(map[string]*engineState)}
+// NewQueues returns Queues without engines; each appears with the first reservation.
+func NewQueues(options QueuesOptions) *Queues {
+	return &Queues{options: options, engines: make(map[string]*engineState)}
 }
 
 // Reconfigure takes over slots and draining; they hold with the next reservation.
-func (l *Lines) Reconfigure() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	now := l.options.Clock.Now()
-	for name, state := range l.engines {
-		engine, exists := l.options.Find(name)
+func (q *Queues) Reconfigure() {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	now := q.options.Clock.Now()
+	for name, state := range q.engines {
+		engine, exists := q.options.FindEngine(name)
 		state.slots, state.draining = engine.Slots, engine.Draining || !exists
-		l.serve(state, now)
+		q.serve(state, now)
 	}
 }
 
-func (l *Lines) state(name string) (*engineState, error) {
-	if known := l.engines[name]; known != nil {
+func (q *Queues) state(name string) (*engineState, error) {
+	if known := q.engines[name]; known != nil {
 		return known, nil
 	}
-	engine, exists := l.options.Find(name)
+	engine, exists := q.options.FindEngine(name)
 	if !exists {
 		return nil, apierr.New(apierr.NotFound, apierr.NotRun, "no pool has an engine %q", name)
 	}
 	created := newEngineState(name)
 	created.slots, created.draining = engine.Slots, engine.Draining
-	l.engines[name] = created
+	q.engines[name] = created
 	return created, nil
 }
 
 // Reserve grants a place, or puts the call in line for up to WaitMillis.
-func (l *Lines) Reserve(ctx context.Context, request ReserveRequest) (ReserveResponse, error) {
-	item, response, err := l.enter(request)
+func (q *Queues) Reserve(ctx context.Context, request ReserveRequest) (ReserveResponse, error) {
+	item, response, err := q.enter(request)
 	if err != nil || item == nil {
 		return response, err
 	}
 	item.granted.Wait(ctx, time.Duration(request.WaitMillis)*time.Millisecond)
-	response = l.leave(item, ctx.Err() != nil)
+	response = q.leave(item, ctx.Err() != nil)
 	response.Queued = true
 	return response, nil
 }
 
 // enter grants at once, refuses, or returns the place in line.
-func (l *Lines) enter(request ReserveRequest) (*waiting, ReserveResponse, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	state, err := l.state(request.Engine)
+func (q *Queues) enter(request ReserveRequest) (*waiting, ReserveResponse, error) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	state, err := q.state(request.Engine)
 	if err != nil {
 		return nil, ReserveResponse{}, err
 	}
-	now := l.options.Clock.Now()
+	now := q.options.Clock.Now()
 	if !state.arrives(request.Ticket) {
-		return nil, l.response(false), nil
+		return nil, q.response(false), nil
 	}
 	if len(state.line) == 0 && len(state.running) < state.capacity(now) {
 		state.grant(request, now)
-		return nil, l.response(true), nil
+		return nil, q.response(true), nil
 	}
 	wait := time.Duration(request.WaitMillis) * time.Millisecond
 	expected := state.expectedWait(now)
 	if wait == 0 || state.draining || expected > wait {
-		refusal := l.response(false)
+		refusal := q.response(false)
 		refusal.Overloaded = expected > wait && wait > 0
 		refusal.RetryAfter = max(expected-wait, minRetryAfter).Milliseconds()
 		return nil, refusal, nil
 	}
-	item := &waiting{request: request, since: now, granted: l.options.Clock.NewSignal()}
+	item := &waiting{request: request, since: now, granted: q.options.Clock.NewSignal()}
 	state.line = append(state.line, item)
 	return item, ReserveResponse{}, nil
 }
 
 // leave ends the wait. A place that was granted to a call that has gone goes to the next.
-func (l *Lines) leave(item *waiting, abandoned bool) ReserveResponse {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	state := l.engines[item.request.Engine]
+func (q *Queues) leave(item *waiting, abandoned bool) ReserveResponse {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	state := q.engines[item.request.Engine]
 	granted := item.finished
 	if !granted {
 		state.remove(item)
-		refusal := l.response(false)
-		refusal.RetryAfter = max(state.expectedWait(l.options.Clock.Now()), minRetryAfter).Milliseconds()
+		refusal := q.response(false)
+		refusal.RetryAfter = max(state.expectedWait(q.options.Clock.Now()), minRetryAfter).Milliseconds()
 		refusal.Overloaded = true
 		return refusal
 	}
 	if abandoned {
 		delete(state.running, item.request.CallID)
-		l.serve(state, l.options.Clock.Now())
+		q.serve(state, q.options.Clock.Now())
 	}
-	return l.response(!abandoned)
+	return q.response(!abandoned)
 }
 
-func (l *Lines) response(granted bool) ReserveResponse {
-	return ReserveResponse{Granted: granted, Loads: l.loads()}
+func (q *Queues) response(granted bool) ReserveResponse {
+	return ReserveResponse{Granted: granted, Loads: q.loads()}
 }
 
-func (l *Lines) loads() []Load {
-	now := l.options.Clock.Now()
-	loads := make([]Load, 0, len(l.engines))
-	for _, state := range l.engines {
+func (q *Queues) loads() []Load {
+	now := q.options.Clock.Now()
+	loads := make([]Load, 0, len(q.engines))
+	for _, state := range q.engines {
 		loads = append(loads, state.load(now))
 	}
 	return loads
 }
 
 // Loads returns the state of all engines that this node was asked about.
-func (l *Lines) Loads() []Load {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.loads()
+func (q *Queues) Loads() []Load {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return q.loads()
 }
 
 // Release gives a place back and serves the line.
-func (l *Lines) Release(request ReleaseRequest) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	state := l.engines[request.Engine]
+func (q *Queues) Release(request ReleaseRequest) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	state := q.engines[request.Engine]
 	if state == nil {
 		return
 	}
-	now := l.options.Clock.Now()
+	now := q.options.Clock.Now()
 	if request.Ticket != 0 {
 		state.withdraw(request.Ticket, now)
-		l.serve(state, now)
+		q.serve(state, now)
 		return
 	}
 	wasFailing := state.failures >= breakerFailures
@@ -164,15 +164,15 @@
 		return
 	}
 	if opened {
-		l.options.Logger.Emit(events.EngineBreakerOpen, events.F("engine", state.name), events.F("seconds", state.openFor.Seconds()))
+		q.options.Logger.Emit(events.EngineBreakerOpen, events.F("engine", state.name), events.F("seconds", state.openFor.Seconds()))
 	} else if wasFailing && state.failures == 0 {
-		l.options.Logger.Emit(events.EngineBreakerClosed, events.F("engine", state.name))
+		q.options.Logger.Emit(events.EngineBreakerClosed, events.F("engine", state.name))
 	}
-	l.serve(state, now)
+	q.serve(state, now)
 }
 
 // serve grants free places to the line.
-func (l *Lines) serve(state *engineState, now time.Time) {
+func (q *Queues) serve(state *engineState, now time.Time) {
 	for len(state.running) < state.capacity(now) {
 		item := state.next(now)
 		if item == nil {
@@ -185,22 +185,22 @@
 }
 
 // Sweep frees the places of gateways that died and of calls past their time.
-func (l *Lines) Sweep() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	now := l.options.Clock.Now()
+func (q *Queues) Sweep() {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	now := q.options.Clock.Now()
 	// In the order of their names, so that an experiment is the same each time.
-	for _, name := range slices.Sorted(maps.Keys(l.engines)) {
-		state := l.engines[name]
+	for _, name := range slices.Sorted(maps.Keys(q.engines)) {
+		state := q.engines[name]
 		for callID, held := range state.running {
-			if now.After(held.expires) || l.options.Gone(held.request.Gateway) {
+			if now.After(held.expires) || q.options.GatewayLost(held.request.Gateway) {
 				delete(state.running, callID)
 			}
 		}
-		l.serve(state, now)
+		q.serve(state, now)
 		state.forget(now)
 		if len(state.running) == 0 && len(state.line) == 0 && state.failures == 0 && state.draining {
-			delete(l.engines, name)
+			delete(q.engines, name)
 		}
 	}
 }
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -91,7 +91,7 @@
 	return buffer.Bytes()
 }
 
-// BytesPerToken estimates lengths for placement; budgets use the strict bound of MostTokens.
+// BytesPerToken estimates lengths for placement; budgets use the strict bound of TokenUpperBound.
 const BytesPerToken = 4
 
 func openingOf(message Message) Opening {
@@ -103,9 +103,9 @@
 	tokensPerMessage = 8
 )
 
-// MostTokens is an upper bound of the tokens of messages: byte-level tokenizers make at most one
+// TokenUpperBound is an upper bound of the tokens of messages: byte-level tokenizers make at most one
 // token of each byte.
-func MostTokens(messages []Message) int64 {
+func TokenUpperBound(messages []Message) int64 {
 	var total int64
 	for _, message := range messages {
 		total += int64(len(message)) + tokensPerMessage
--- a/internal/program/lifecycle.go
+++ b/internal/program/lifecycle.go
@@ -272,8 +272,8 @@
 	return nil
 }
 
-// OpenBefore lists the calls before sequence that are under way.
-func (m *Machine) OpenBefore(key Key, sequence uint64) []string {
+// OpenCallsBefore lists the calls before sequence that are under way.
+func (m *Machine) OpenCallsBefore(key Key, sequence uint64) []string {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	program := m.programs[key]
--- a/internal/program/machine.go
+++ b/internal/program/machine.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Changed returns a channel that is closed at the next change of a program.
-func (m *Machine) Changed(key Key) <-chan struct{} {
+// Watch returns a channel that is closed at the next change of a program.
+func (m *Machine) Watch(key Key) <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.watches[key] == nil {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -21,7 +21,7 @@
 		Tenant:     call.Tenant,
 		Weight:     call.Weight,
 		Gateway:    call.Gateway,
-		CallMillis: call.Limit.Milliseconds(),
+		CallMillis: call.Timeout.Milliseconds(),
 	}
 	input := call.input(waited)
 	rank, err := rules.Rank(&input)
@@ -77,7 +77,7 @@
 }
 
 func waitingPerSlot(candidate Candidate) float64 {
-	if candidate.Load.Open || candidate.Load.Draining {
+	if candidate.Load.BreakerOpen || candidate.Load.Draining {
 		return float64(1 << 20)
 	}
 	return float64(candidate.Load.Running+candidate.Load.Waiting) / float64(max(1, candidate.Load.Slots))
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -57,8 +57,8 @@
 	// Avoid lists engines on which this call has failed.
 	Avoid []string
 	// Wait is how long the call may stand in line; Limit is how long it may run.
-	Wait  time.Duration
-	Limit time.Duration
+	MaxWait time.Duration
+	Timeout time.Duration
 }
 
 // Candidate is an engine under consideration.
@@ -151,7 +151,7 @@
 func (s *Scheduler) Place(ctx context.Context, call Call, pool *resource.Pool, rules *policy.Policy) (Decision, error) {
 	started := s.now()
 	decision := Decision{Call: call.ID, At: started}
-	deadline := started.Add(call.Wait)
+	deadline := started.Add(call.MaxWait)
 	if err := s.checkAdmission(call, rules); err != nil {
 		return decision, err
 	}
@@ -244,7 +244,7 @@
 		return reasonDraining
 	case slices.Contains(call.Avoid, candidate.Engine.Name):
 		return reasonAvoided
-	case candidate.Load.Open:
+	case candidate.Load.BreakerOpen:
 		return reasonOpen
 	default:
 		return ""
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -64,19 +64,19 @@
 		code   apierr.Code
 	}{
 		"the program's engine if it has room": {
-			owners: owners{free: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{WarmEngine: "e2", Wait: time.Minute}, engine: "e2"},
+			owners: owners{free: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
 		"another one if it is full": {
-			owners: owners{free: map[string]bool{"e3": true}}, call: Call{WarmEngine: "e2", Wait: time.Minute}, engine: "e3"},
+			owners: owners{free: map[string]bool{"e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e3"},
 		"in the program's engine's line though others have room": {
-			owners: owners{free: map[string]bool{"e1": true, "e3": true}, waits: map[string]bool{"e2": true}}, call: Call{WarmEngine: "e2", Wait: time.Minute}, engine: "e2"},
+			owners: owners{free: map[string]bool{"e1": true, "e3": true}, waits: map[string]bool{"e2": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
 		"not in that line without patience": {
-			owners: owners{free: map[string]bool{"e1": true}, waits: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "0.0"}, call: Call{WarmEngine: "e2", Wait: time.Minute}, engine: "e1"},
+			owners: owners{free: map[string]bool{"e1": true}, waits: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "0.0"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
 		"a failing patience costs the line and nothing else": {
-			owners: owners{free: map[string]bool{"e1": true}, waits: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "1.0 / engine.load"}, call: Call{WarmEngine: "e2", Wait: time.Minute}, engine: "e1"},
+			owners: owners{free: map[string]bool{"e1": true}, waits: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "1.0 / engine.load"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
 		"in line if all are full": {
-			owners: owners{waits: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{Wait: time.Second}, engine: "any"},
+			owners: owners{waits: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{MaxWait: time.Second}, engine: "any"},
 		"overloaded if the lines are too long": {
-			owners: owners{}, call: Call{Wait: time.Second}, code: apierr.Overloaded},
+			owners: owners{}, call: Call{MaxWait: time.Second}, code: apierr.Overloaded},
 		"overloaded at once without a wait": {
 			owners: owners{waits: map[string]bool{"e1": true}}, code: apierr.Overloaded},
 		"not where the call has failed": {
@@ -90,7 +90,7 @@
 		"not admitted": {
 			owners: owners{free: map[string]bool{"e1": true}}, source: resource.Policy{Admit: "false"}, code: apierr.LimitExceeded},
 		"the owner can't be reached": {
-			owners: owners{missing: map[string]bool{"e1": true}}, call: Call{Wait: time.Second}, pool: poolOf(1), code: apierr.NoEngine},
+			owners: owners{missing: map[string]bool{"e1": true}}, call: Call{MaxWait: time.Second}, pool: poolOf(1), code: apierr.NoEngine},
 	}
 	for name, item := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -125,7 +125,7 @@
 		assert.Equal(t, decision.Engine.Name, "e2")
 		assert.DeepEqual(t, reserver.asked, []string{"e2"})
 	}
-	reserver.loads = []owner.Load{{Engine: "e2", Open: true}}
+	reserver.loads = []owner.Load{{Engine: "e2", BreakerOpen: true}}
 	_, err = scheduler.Place(t.Context(), Call{}, poolOf(2), rules)
 	assert.NilError(t, err)
 	decision, err := scheduler.Place(t.Context(), Call{}, poolOf(2), rules)
