--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -8,28 +8,28 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// candidates is the short list: the program's engine, then others drawn at random, so that the cost
-// of a decision does not grow with the pool.
+// candidates returns at most maxCandidates engines: the call's warm engine and a random sample of the others, so that
+// the cost of a decision does not grow with the pool.
 func (s *Scheduler) candidates(call Call, pool *resource.Pool) []Candidate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
-	result := make([]Candidate, 0, min(shortlist, len(pool.Engines)))
-	for _, index := range s.chooseIndexes(call.WarmEngine, pool.Engines) {
-		candidate := Candidate{Engine: pool.Engines[index], Load: s.loadOf(pool.Engines[index], now), Unused: s.unused(pool.Engines[index].Name, now)}
-		candidate.Reason = unusable(candidate, call)
+	result := make([]Candidate, 0, min(maxCandidates, len(pool.Engines)))
+	for _, index := range s.sampleIndexes(call.WarmEngine, pool.Engines) {
+		candidate := Candidate{Engine: pool.Engines[index], Load: s.loadOf(pool.Engines[index], now), Unused: s.sinceLastChosen(pool.Engines[index].Name, now)}
+		candidate.Reason = exclusionReason(candidate, call)
 		result = append(result, candidate)
 	}
-	compareWaits(result)
-	compareSteps(result)
+	setOtherWaits(result)
+	setSlowness(result)
 	return result
 }
 
-// leastSteps is how many engines' step times make a median that one can be slower than.
-const leastSteps = 3
+// minStepSamples is the number of known step times from which a median is computed.
+const minStepSamples = 3
 
-// compareSteps tells each candidate how much slower it is than most.
-func compareSteps(candidates []Candidate) {
+// setSlowness sets each candidate's step time as a multiple of the candidates' median.
+func setSlowness(candidates []Candidate) {
 	var steps []int64
 	for index := range candidates {
 		candidates[index].Slowness = 1
@@ -37,7 +37,7 @@
 			steps = append(steps, step)
 		}
 	}
-	if len(steps) < leastSteps {
+	if len(steps) < minStepSamples {
 		return
 	}
 	slices.Sort(steps)
@@ -49,8 +49,8 @@
 	}
 }
 
-// compareWaits tells each candidate the shortest wait among the others.
-func compareWaits(candidates []Candidate) {
+// setOtherWaits sets each candidate's shortest wait among the other usable candidates.
+func setOtherWaits(candidates []Candidate) {
 	shortest, second := -1, -1
 	for index, candidate := range candidates {
 		switch {
@@ -72,40 +72,43 @@
 	}
 }
 
-func (s *Scheduler) chooseIndexes(warmEngine string, engines []resource.Engine) []int {
-	if len(engines) <= shortlist {
+// sampleIndexes returns the indexes of the candidates, the warm engine first. s.mutex is held.
+func (s *Scheduler) sampleIndexes(warmEngine string, engines []resource.Engine) []int {
+	if len(engines) <= maxCandidates {
 		all := make([]int, len(engines))
 		for index := range engines {
 			all[index] = index
 		}
 		return all
 	}
-	chosen := make([]int, 0, shortlist)
-	if last := slices.IndexFunc(engines, func(engine resource.Engine) bool { return engine.Name == warmEngine }); last >= 0 {
-		chosen = append(chosen, last)
+	chosen := make([]int, 0, maxCandidates)
+	if warm := slices.IndexFunc(engines, func(engine resource.Engine) bool { return engine.Name == warmEngine }); warm >= 0 {
+		chosen = append(chosen, warm)
 	}
-	for len(chosen) < shortlist {
-		if index := s.draw(len(engines)); !slices.Contains(chosen, index) {
+	for len(chosen) < maxCandidates {
+		if index := s.randomInt(len(engines)); !slices.Contains(chosen, index) {
 			chosen = append(chosen, index)
 		}
 	}
 	return chosen
 }
 
+// loadOf returns the last load that the engine's owner reported, or an idle one if there is none within loadTTL.
+// s.mutex is held.
 func (s *Scheduler) loadOf(engine resource.Engine, now time.Time) owner.Load {
-	known, exists := s.loads[engine.Name]
-	if !exists || now.Sub(known.at) > loadTTL {
+	cached, exists := s.loads[engine.Name]
+	if !exists || now.Sub(cached.receivedAt) > loadTTL {
 		return owner.Load{Engine: engine.Name, Slots: engine.Slots}
 	}
-	return known.load
+	return cached.load
 }
 
-// neverChosen stands for an engine that was not chosen yet.
+// neverChosen is the reported idle time of an engine that was never chosen.
 const neverChosen = time.Hour
 
-func (s *Scheduler) unused(name string, now time.Time) time.Duration {
-	if at, known := s.chosen[name]; known {
-		return now.Sub(at)
+func (s *Scheduler) sinceLastChosen(name string, now time.Time) time.Duration {
+	if chosenAt, known := s.lastChosen[name]; known {
+		return now.Sub(chosenAt)
 	}
 	return neverChosen
 }
--- a/internal/scheduler/input.go
+++ b/internal/scheduler/input.go
@@ -9,7 +9,7 @@
 	"github.com/mountstile/mountstile/internal/policy"
 )
 
-// input describes the call itself.
+// input returns the call's policy inputs; those of the engine are left zero.
 func (c Call) input(waited time.Duration) policy.Input {
 	return policy.Input{
 		CallPromptTokens:  float64(c.PromptTokens),
@@ -30,8 +30,8 @@
 	}
 }
 
-// describe sets the candidate's part of an input, which is reused over the candidates of a call.
-func describe(i *policy.Input, candidate Candidate, call Call, zone string) {
+// setEngineInput sets every engine input from the candidate. One Input is reused for all candidates of a call.
+func setEngineInput(i *policy.Input, candidate Candidate, call Call, zone string) {
 	i.EngineName = candidate.Engine.Name
 	i.EngineZone = candidate.Engine.Zone
 	i.EngineRegion = candidate.Engine.Region
@@ -52,11 +52,11 @@
 	}
 }
 
-// affinity is a number from 0 to 1 that is the same on every node for a program and an engine.
+// affinity is a rendezvous hash of the root program and the engine in [0, 1), equal on every node.
 func affinity(call Call, engineName string) float64 {
 	root, _, _ := strings.Cut(call.Program, "/")
 	digest := xxhash.New()
-	// A digest never fails to take bytes.
+	// Writing to the digest never fails.
 	_, _ = digest.WriteString(call.Tenant + "\x00" + root + "\x00" + engineName)
 	return float64(digest.Sum64()>>11) / (1 << 53)
 }
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -13,8 +13,8 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// reserve asks the best candidates for a free place, and then lets the call wait at the best one
-// that keeps a line.
+// reserve requests a slot from the owners of the best candidates in order of score, with the policy's patience at each, and
+// then queues the call at the least loaded candidate for the rest of its wait.
 func (s *Scheduler) reserve(ctx context.Context, call Call, ranked []Candidate, rules *policy.Policy, deadline time.Time, waited time.Duration, decision *Decision) (bool, error) {
 	request := owner.ReserveRequest{
 		CallID:     call.ID,
@@ -29,10 +29,10 @@
 		return false, apierr.New(apierr.PolicyFailed, apierr.NotRun, "%s", err)
 	}
 	request.Rank = rank
-	for _, candidate := range ranked[:min(immediateTries, len(ranked))] {
-		describe(&input, candidate, call, s.options.Zone)
+	for _, candidate := range ranked[:min(maxReserveAttempts, len(ranked))] {
+		setEngineInput(&input, candidate, call, s.options.Zone)
 		request.WaitMillis = s.patience(&input, rules, deadline).Milliseconds()
-		response, err := s.ask(ctx, candidate.Engine, request, decision)
+		response, err := s.reserveOn(ctx, candidate.Engine, request, decision)
 		if err == nil && response.Granted {
 			decision.Engine = candidate.Engine
 			return true, nil
@@ -43,13 +43,13 @@
 	}
 	request.WaitMillis = deadline.Sub(s.now()).Milliseconds()
 	if request.WaitMillis <= 0 {
-		return false, apierr.New(apierr.Overloaded, apierr.NotRun, "no engine became free in time").WithRetryAfter(minimumRetryWait)
+		return false, apierr.New(apierr.Overloaded, apierr.NotRun, "no engine slot became free within the queue time").WithRetryAfter(minRetryAfter)
 	}
-	return s.wait(ctx, call, s.leastLoaded(ranked), request, decision)
+	return s.waitInQueue(ctx, call, s.sortedByLoad(ranked), request, decision)
 }
 
-// patience is how long the call rather waits for a candidate than goes to the next. A policy that
-// fails here costs the call its warm engine, and nothing else.
+// patience returns how long the call may queue at a candidate before the next one is tried. If the policy fails, the call
+// does not queue there, and goes on.
 func (s *Scheduler) patience(input *policy.Input, rules *policy.Policy, deadline time.Time) time.Duration {
 	seconds, err := rules.Patience(input)
 	if err != nil {
@@ -60,9 +60,9 @@
 	return time.Duration(max(0, wait) * float64(time.Second))
 }
 
-// leastLoaded orders the candidates anew by the loads just heard, keeping the score's order where
-// the lines are equally long.
-func (s *Scheduler) leastLoaded(ranked []Candidate) []Candidate {
+// sortedByLoad returns the candidates in order of the loads that their owners have just reported; equally loaded ones stay in
+// order of score.
+func (s *Scheduler) sortedByLoad(ranked []Candidate) []Candidate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
@@ -71,32 +71,34 @@
 		result[index].Load = s.loadOf(result[index].Engine, now)
 	}
 	slices.SortStableFunc(result, func(a, b Candidate) int {
-		return cmp.Compare(waitingPerSlot(a), waitingPerSlot(b))
+		return cmp.Compare(loadPerSlot(a), loadPerSlot(b))
 	})
 	return result
 }
 
-func waitingPerSlot(candidate Candidate) float64 {
+// loadPerSlot returns running and queued calls per slot. Engines that take no calls sort last.
+func loadPerSlot(candidate Candidate) float64 {
 	if candidate.Load.BreakerOpen || candidate.Load.Draining {
 		return float64(1 << 20)
 	}
 	return float64(candidate.Load.Running+candidate.Load.Waiting) / float64(max(1, candidate.Load.Slots))
 }
 
-func (s *Scheduler) wait(ctx context.Context, call Call, ranked []Candidate, request owner.ReserveRequest, decision *Decision) (bool, error) {
+// waitInQueue queues the call at one candidate after the other until one grants a slot.
+func (s *Scheduler) waitInQueue(ctx context.Context, call Call, ranked []Candidate, request owner.ReserveRequest, decision *Decision) (bool, error) {
 	var refusal *apierr.Error
-	for _, candidate := range ranked[:min(immediateTries, len(ranked))] {
-		response, err := s.ask(ctx, candidate.Engine, request, decision)
+	for _, candidate := range ranked[:min(maxReserveAttempts, len(ranked))] {
+		response, err := s.reserveOn(ctx, candidate.Engine, request, decision)
 		if err != nil {
-			refusal = apierr.New(apierr.NoEngine, apierr.NotRun, "the engine's owner can't be reached: %s", err).WithRetryAfter(time.Second)
+			refusal = apierr.New(apierr.NoEngine, apierr.NotRun, "the engine's owner is unreachable: %s", err).WithRetryAfter(time.Second)
 			continue
 		}
 		if response.Granted {
 			decision.Engine = candidate.Engine
 			return true, nil
 		}
-		retryAfter := max(time.Duration(response.RetryAfter)*time.Millisecond, minimumRetryWait)
-		refusal = apierr.New(apierr.Overloaded, apierr.NotRun, "all engines are busy; the line is longer than the call may wait").WithRetryAfter(retryAfter)
+		retryAfter := max(time.Duration(response.RetryAfter)*time.Millisecond, minRetryAfter)
+		refusal = apierr.New(apierr.Overloaded, apierr.NotRun, "all engines are busy; the expected queue time exceeds the call's").WithRetryAfter(retryAfter)
 		if ctx.Err() != nil {
 			break
 		}
@@ -104,8 +106,8 @@
 	return false, refusal
 }
 
-// ask reserves and remembers the loads that the owner tells.
-func (s *Scheduler) ask(ctx context.Context, engine resource.Engine, request owner.ReserveRequest, decision *Decision) (owner.ReserveResponse, error) {
+// reserveOn requests a slot on an engine from its owner, and caches the loads in the response.
+func (s *Scheduler) reserveOn(ctx context.Context, engine resource.Engine, request owner.ReserveRequest, decision *Decision) (owner.ReserveResponse, error) {
 	request.Engine = engine.Name
 	response, err := s.options.Reserver.Reserve(ctx, engine, request)
 	if err != nil {
@@ -116,10 +118,10 @@
 	defer s.mutex.Unlock()
 	now := s.now()
 	if response.Granted {
-		s.chosen[engine.Name] = now
+		s.lastChosen[engine.Name] = now
 	}
 	for _, load := range response.Loads {
-		s.loads[load.Engine] = knownLoad{load: load, at: now}
+		s.loads[load.Engine] = cachedLoad{load: load, receivedAt: now}
 	}
 	return response, nil
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,5 @@
-// Package scheduler decides which engine serves a call, in a cycle of named steps: candidates,
-// filter, score, reserve. Binding, the commit of the decision, is the coordinator's.
-// docs/design/scheduling.md weighs the ways.
+// Package scheduler chooses the engine for a call in four steps: sample candidates, filter, score, and reserve a slot. The
+// coordinator commits the decision. docs/design/scheduling.md compares the alternatives.
 package scheduler
 
 import (
@@ -20,16 +19,16 @@
 )
 
 const (
-	// shortlist bounds the candidates that are scored for one call.
-	shortlist = 16
-	// immediateTries is how many candidates are asked for a free place before the call waits.
-	immediateTries = 3
-	// loadTTL is how long a load that an owner told is trusted.
-	loadTTL          = 5 * time.Second
-	minimumRetryWait = 200 * time.Millisecond
+	// maxCandidates bounds the engines that are scored for one call.
+	maxCandidates = 16
+	// maxReserveAttempts bounds the reservation requests in each of the two rounds of reserve.
+	maxReserveAttempts = 3
+	// loadTTL is how long a load reported by an owner is used.
+	loadTTL       = 5 * time.Second
+	minRetryAfter = 200 * time.Millisecond
 )
 
-// Call is what the scheduler knows of a call.
+// Call holds the properties of a call that placement depends on.
 type Call struct {
 	ID         string
 	Program    string
@@ -43,10 +42,10 @@
 	// PromptTokens and MaxTokens are estimates for the policy.
 	PromptTokens int64
 	MaxTokens    int64
-	// LastEngine served the program's latest call.
+	// LastEngine is the engine of the program's latest call.
 	LastEngine string
-	// WarmEngine holds CachedTokens of the prompt, as far as the program's calls tell: LastEngine, or
-	// that of the ancestor whose first message a new program shares.
+	// WarmEngine is estimated to have CachedTokens of the prompt in its cache: LastEngine, or for a new program that
+	// of an ancestor with the same first message.
 	WarmEngine   string
 	CachedTokens int64
 	Depth        int
@@ -56,7 +55,7 @@
 	AgeSeconds   float64
 	// Avoid lists engines on which this call has failed.
 	Avoid []string
-	// Wait is how long the call may stand in line; Limit is how long it may run.
+	// MaxWait bounds the time in queues, Timeout the execution.
 	MaxWait time.Duration
 	Timeout time.Duration
 }
@@ -66,88 +65,87 @@
 	Engine resource.Engine
 	Load   owner.Load
 	Score  float64
-	// OtherWait is the shortest wait at any other candidate that may serve the call.
+	// OtherWait is the shortest expected queue time at the other usable candidates.
 	OtherWait time.Duration
-	// Slowness is the time between its tokens as a multiple of the candidates' median; 1 if unknown.
+	// Slowness is the engine's time per token as a multiple of the candidates' median; 1 if unknown.
 	Slowness float64
-	// Unused is how long ago this scheduler last chose the engine.
+	// Unused is the time since this scheduler last chose the engine.
 	Unused time.Duration
-	// Reason tells why a candidate was left out; empty for one that was scored.
+	// Reason tells why the candidate was excluded; empty if it was scored.
 	Reason string
 }
 
 func (c Candidate) wait() time.Duration { return time.Duration(c.Load.WaitMillis) * time.Millisecond }
 
-// Decision is the outcome of one cycle, kept for explanation.
+// Decision is the outcome of one placement, kept for operators.
 type Decision struct {
 	Call       string
 	At         time.Time
 	Engine     resource.Engine
 	OwnerID    string
 	Candidates []Candidate
-	// Queued tells that the call stood in line.
+	// Queued is set if the call waited in an engine's queue.
 	Queued bool
 	Took   time.Duration
 }
 
-// Reserver asks the owner of an engine for a place.
+// Reserver requests slots from the owners of engines.
 type Reserver interface {
 	Reserve(ctx context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error)
 }
 
 // Options configure a Scheduler.
 type Options struct {
-	// Zone is the node's.
+	// Zone is this node's zone; engines in it count as local.
 	Zone     string
 	Reserver Reserver
 	Clock    clock.Clock
-	// Random, if set, makes the draws of an experiment repeatable.
+	// Random, if set, makes sampling deterministic. A Scheduler with Random is not safe for concurrent use.
 	Random *rand.Rand
 	Logger *events.Logger
 }
 
-// Scheduler runs the cycle. It is safe for concurrent use, but for one with Random.
+// Scheduler places calls on engines. It is safe for concurrent use unless Options.Random is set.
 type Scheduler struct {
 	options Options
 
 	mutex sync.Mutex
-	loads map[string]knownLoad
-	// chosen is when each engine was last chosen here.
-	chosen map[string]time.Time
+	loads map[string]cachedLoad
+	// lastChosen is when this scheduler last chose each engine.
+	lastChosen map[string]time.Time
 }
 
-type knownLoad struct {
-	load owner.Load
-	at   time.Time
+type cachedLoad struct {
+	load       owner.Load
+	receivedAt time.Time
 }
 
-// New returns a Scheduler.
+// New returns a Scheduler that treats engines as idle until their owners report loads.
 func New(options Options) *Scheduler {
-	return &Scheduler{options: options, loads: make(map[string]knownLoad), chosen: make(map[string]time.Time)}
+	return &Scheduler{options: options, loads: make(map[string]cachedLoad), lastChosen: make(map[string]time.Time)}
 }
 
 func (s *Scheduler) now() time.Time { return s.options.Clock.Now() }
 
-func (s *Scheduler) since(moment time.Time) time.Duration { return s.now().Sub(moment) }
+func (s *Scheduler) elapsedSince(moment time.Time) time.Duration { return s.now().Sub(moment) }
 
-// draw returns a number from 0 to below bound.
-func (s *Scheduler) draw(bound int) int {
+// randomInt returns a number in [0, limit).
+func (s *Scheduler) randomInt(limit int) int {
 	if s.options.Random != nil {
-		return s.options.Random.IntN(bound)
+		return s.options.Random.IntN(limit)
 	}
-	return rand.IntN(bound)
+	return rand.IntN(limit)
 }
 
-// shuffle puts candidates into random order.
 func (s *Scheduler) shuffle(candidates []Candidate) {
 	for last := len(candidates) - 1; last > 0; last-- {
-		other := s.draw(last + 1)
+		other := s.randomInt(last + 1)
 		candidates[last], candidates[other] = candidates[other], candidates[last]
 	}
 }
 
-// Place finds an engine and holds a place on it. Errors: *apierr.Error with NoEngine, Overloaded,
-// PolicyFailed or Cancelled; the call was not sent anywhere.
+// Place chooses an engine and reserves a slot on it. It fails with an *apierr.Error of code LimitExceeded, NoEngine,
+// Overloaded, PolicyFailed or Cancelled; the call has then not been sent to any engine.
 func (s *Scheduler) Place(ctx context.Context, call Call, pool *resource.Pool, rules *policy.Policy) (Decision, error) {
 	started := s.now()
 	decision := Decision{Call: call.ID, At: started}
@@ -156,18 +154,18 @@
 		return decision, err
 	}
 	for {
-		ranked, rejected := s.rank(call, pool, rules, s.since(started))
+		ranked, rejected := s.rank(call, pool, rules, s.elapsedSince(started))
 		decision.Candidates = append(slices.Clone(ranked), rejected...)
 		if len(ranked) == 0 {
-			return decision, noCandidate(rejected)
+			return decision, noEngineError(rejected)
 		}
-		bound, refusal := s.reserve(ctx, call, ranked, rules, deadline, s.since(started), &decision)
-		decision.Took = s.since(started)
-		if bound {
+		reserved, refusal := s.reserve(ctx, call, ranked, rules, deadline, s.elapsedSince(started), &decision)
+		decision.Took = s.elapsedSince(started)
+		if reserved {
 			return decision, nil
 		}
 		if ctx.Err() != nil {
-			return decision, apierr.New(apierr.Cancelled, apierr.NotRun, "the caller gave up")
+			return decision, apierr.New(apierr.Cancelled, apierr.NotRun, "the caller cancelled the call")
 		}
 		if refusal != nil {
 			return decision, refusal
@@ -187,21 +185,21 @@
 	return nil
 }
 
-func noCandidate(rejected []Candidate) error {
+func noEngineError(rejected []Candidate) error {
 	for _, candidate := range rejected {
-		if candidate.Reason == reasonOpen || candidate.Reason == reasonAvoided {
-			return apierr.New(apierr.NoEngine, apierr.NotRun, "no engine of the pool works at present").WithRetryAfter(time.Second)
+		if candidate.Reason == reasonBreakerOpen || candidate.Reason == reasonFailedBefore {
+			return apierr.New(apierr.NoEngine, apierr.NotRun, "no engine of the pool is available at present").WithRetryAfter(time.Second)
 		}
 	}
-	return apierr.New(apierr.NoEngine, apierr.NotRun, "no engine of the pool may serve the call").WithRetryAfter(time.Second)
+	return apierr.New(apierr.NoEngine, apierr.NotRun, "no engine of the pool is eligible for the call").WithRetryAfter(time.Second)
 }
 
-// rank runs candidates, filter and score; the best comes first.
+// rank samples, filters and scores candidates; ranked holds the usable ones, the best first.
 func (s *Scheduler) rank(call Call, pool *resource.Pool, rules *policy.Policy, waited time.Duration) (ranked, rejected []Candidate) {
 	input := call.input(waited)
 	for _, candidate := range s.candidates(call, pool) {
 		if candidate.Reason == "" {
-			describe(&input, candidate, call, s.options.Zone)
+			setEngineInput(&input, candidate, call, s.options.Zone)
 			candidate.Reason = s.filterAndScore(&candidate, &input, rules)
 		}
 		if candidate.Reason == "" {
@@ -210,19 +208,20 @@
 			rejected = append(rejected, candidate)
 		}
 	}
-	// Equal candidates are tried in random order, so that schedulers do not herd.
+	// Candidates of equal score stay in random order, so that schedulers do not all choose the same engine.
 	s.shuffle(ranked)
 	slices.SortStableFunc(ranked, func(a, b Candidate) int { return cmp.Compare(b.Score, a.Score) })
 	return ranked, rejected
 }
 
 const (
-	reasonDraining = "draining"
-	reasonOpen     = "circuit breaker open"
-	reasonAvoided  = "the call has failed there"
-	reasonFiltered = "filtered by policy"
+	reasonDraining     = "draining"
+	reasonBreakerOpen  = "circuit breaker open"
+	reasonFailedBefore = "the call has failed there"
+	reasonFiltered     = "filtered by policy"
 )
 
+// filterAndScore sets the candidate's score, or returns why it is excluded.
 func (s *Scheduler) filterAndScore(candidate *Candidate, input *policy.Input, rules *policy.Policy) string {
 	allowed, err := rules.Filter(input)
 	if err == nil && !allowed {
@@ -238,14 +237,15 @@
 	return ""
 }
 
-func unusable(candidate Candidate, call Call) string {
+// exclusionReason returns why an engine can't take the call, apart from the policy; "" if it can.
+func exclusionReason(candidate Candidate, call Call) string {
 	switch {
 	case candidate.Engine.Draining || candidate.Load.Draining:
 		return reasonDraining
 	case slices.Contains(call.Avoid, candidate.Engine.Name):
-		return reasonAvoided
+		return reasonFailedBefore
 	case candidate.Load.BreakerOpen:
-		return reasonOpen
+		return reasonBreakerOpen
 	default:
 		return ""
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -16,22 +16,22 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// owners answers reservations from a table and records who was asked.
+// owners is a fake Reserver that records the engines it was called for.
 type owners struct {
 	free map[string]bool
-	// waits are the engines that grant a place after a wait.
-	waits   map[string]bool
-	loads   []owner.Load
-	missing map[string]bool
-	asked   []string
+	// grantsAfterWait are the engines that grant a slot only to requests that may wait.
+	grantsAfterWait map[string]bool
+	loads           []owner.Load
+	unreachable     map[string]bool
+	requested       []string
 }
 
 func (o *owners) Reserve(_ context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
-	o.asked = append(o.asked, engine.Name)
-	if o.missing[engine.Name] {
+	o.requested = append(o.requested, engine.Name)
+	if o.unreachable[engine.Name] {
 		return owner.ReserveResponse{}, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "gone")
 	}
-	granted := o.free[engine.Name] || request.WaitMillis > 0 && o.waits[engine.Name]
+	granted := o.free[engine.Name] || request.WaitMillis > 0 && o.grantsAfterWait[engine.Name]
 	return owner.ReserveResponse{Granted: granted, Loads: o.loads, RetryAfter: 700}, nil
 }
 
@@ -63,34 +63,34 @@
 		engine string
 		code   apierr.Code
 	}{
-		"the program's engine if it has room": {
+		"the warm engine if it has a free slot": {
 			owners: owners{free: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
-		"another one if it is full": {
+		"another engine if the warm one is full": {
 			owners: owners{free: map[string]bool{"e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e3"},
-		"in the program's engine's line though others have room": {
-			owners: owners{free: map[string]bool{"e1": true, "e3": true}, waits: map[string]bool{"e2": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
-		"not in that line without patience": {
-			owners: owners{free: map[string]bool{"e1": true}, waits: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "0.0"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
-		"a failing patience costs the line and nothing else": {
-			owners: owners{free: map[string]bool{"e1": true}, waits: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "1.0 / engine.load"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
-		"in line if all are full": {
-			owners: owners{waits: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{MaxWait: time.Second}, engine: "any"},
-		"overloaded if the lines are too long": {
+		"the warm engine's queue though others have free slots": {
+			owners: owners{free: map[string]bool{"e1": true, "e3": true}, grantsAfterWait: map[string]bool{"e2": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
+		"no queueing at the warm engine without patience": {
+			owners: owners{free: map[string]bool{"e1": true}, grantsAfterWait: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "0.0"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
+		"a failing patience policy only prevents queueing": {
+			owners: owners{free: map[string]bool{"e1": true}, grantsAfterWait: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "1.0 / engine.load"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
+		"a queue if all engines are full": {
+			owners: owners{grantsAfterWait: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{MaxWait: time.Second}, engine: "any"},
+		"overloaded if the queues are too long": {
 			owners: owners{}, call: Call{MaxWait: time.Second}, code: apierr.Overloaded},
-		"overloaded at once without a wait": {
-			owners: owners{waits: map[string]bool{"e1": true}}, code: apierr.Overloaded},
-		"not where the call has failed": {
+		"overloaded at once if the call may not wait": {
+			owners: owners{grantsAfterWait: map[string]bool{"e1": true}}, code: apierr.Overloaded},
+		"no engine on which the call has failed": {
 			owners: owners{free: map[string]bool{"e1": true, "e2": true}}, call: Call{Avoid: []string{"e1"}, WarmEngine: "e1"}, pool: poolOf(2), engine: "e2"},
-		"not on a draining engine": {
+		"no draining engine": {
 			owners: owners{free: map[string]bool{"e1": true}}, pool: &resource.Pool{Engines: []resource.Engine{{Name: "e1", Slots: 1, Draining: true}}}, code: apierr.NoEngine},
 		"no engine passes the filter": {
 			owners: owners{free: map[string]bool{"e1": true}}, source: resource.Policy{Filter: `engine.name == "x"`}, code: apierr.NoEngine},
-		"a failing score leaves all out": {
+		"a failing score excludes all engines": {
 			owners: owners{free: map[string]bool{"e1": true}}, source: resource.Policy{Score: "1.0 / engine.load"}, code: apierr.NoEngine},
-		"not admitted": {
+		"not admitted by the policy": {
 			owners: owners{free: map[string]bool{"e1": true}}, source: resource.Policy{Admit: "false"}, code: apierr.LimitExceeded},
-		"the owner can't be reached": {
-			owners: owners{missing: map[string]bool{"e1": true}}, call: Call{MaxWait: time.Second}, pool: poolOf(1), code: apierr.NoEngine},
+		"the owner is unreachable": {
+			owners: owners{unreachable: map[string]bool{"e1": true}}, call: Call{MaxWait: time.Second}, pool: poolOf(1), code: apierr.NoEngine},
 	}
 	for name, item := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 				assert.Assert(t, apierr.Is(err, item.code), "%v", err)
 				failure := apierr.From(err, apierr.Ran)
 				assert.Equal(t, failure.Outcome, apierr.NotRun)
-				assert.Assert(t, failure.RetryAfter > 0, "the caller is told when to come back")
+				assert.Assert(t, failure.RetryAfter > 0, "the error has a retry delay")
 				return
 			}
 			assert.NilError(t, err)
@@ -111,67 +111,67 @@
 	}
 }
 
-// TestLoadsTravelWithAnswers: what an owner told decides the next call without asking.
-func TestLoadsTravelWithAnswers(t *testing.T) {
+// TestReportedLoadsAreUsed checks that the loads in a response decide the next placement without another request.
+func TestReportedLoadsAreUsed(t *testing.T) {
 	reserver := &owners{free: map[string]bool{"e1": true, "e2": true}, loads: []owner.Load{{Engine: "e1", Running: 4, Slots: 4}, {Engine: "e2", Slots: 4}}}
 	scheduler := newScheduler(reserver)
 	rules := compile(t, resource.Policy{})
 	_, err := scheduler.Place(t.Context(), Call{}, poolOf(2), rules)
 	assert.NilError(t, err)
 	for range 5 {
-		reserver.asked = nil
+		reserver.requested = nil
 		decision, err := scheduler.Place(t.Context(), Call{}, poolOf(2), rules)
 		assert.NilError(t, err)
 		assert.Equal(t, decision.Engine.Name, "e2")
-		assert.DeepEqual(t, reserver.asked, []string{"e2"})
+		assert.DeepEqual(t, reserver.requested, []string{"e2"})
 	}
 	reserver.loads = []owner.Load{{Engine: "e2", BreakerOpen: true}}
 	_, err = scheduler.Place(t.Context(), Call{}, poolOf(2), rules)
 	assert.NilError(t, err)
 	decision, err := scheduler.Place(t.Context(), Call{}, poolOf(2), rules)
 	assert.NilError(t, err)
-	assert.Equal(t, decision.Engine.Name, "e1", "an open breaker keeps the engine out")
+	assert.Equal(t, decision.Engine.Name, "e1", "an engine with an open breaker is excluded")
 }
 
-// TestShortListDoesNotGrowWithThePool and keeps the program's engine in it.
-func TestShortListDoesNotGrowWithThePool(t *testing.T) {
+// TestCandidatesAreBounded checks that the sample does not grow with the pool, and contains the warm engine.
+func TestCandidatesAreBounded(t *testing.T) {
 	pool := poolOf(700)
 	scheduler := newScheduler(&owners{})
 	for range 20 {
 		candidates := scheduler.candidates(Call{WarmEngine: "e412"}, pool)
-		assert.Equal(t, len(candidates), shortlist)
+		assert.Equal(t, len(candidates), maxCandidates)
 		assert.Equal(t, candidates[0].Engine.Name, "e412")
 	}
 }
 
-// TestWaitsAreCompared: each candidate knows the shortest wait among the others that may serve.
-func TestWaitsAreCompared(t *testing.T) {
+// TestOtherWaits checks that excluded candidates do not count, and a candidate does not count for itself.
+func TestOtherWaits(t *testing.T) {
 	candidates := []Candidate{
 		{Load: owner.Load{WaitMillis: 300}}, {Load: owner.Load{WaitMillis: 100}},
-		{Load: owner.Load{WaitMillis: 200}}, {Load: owner.Load{WaitMillis: 0}, Reason: reasonOpen},
+		{Load: owner.Load{WaitMillis: 200}}, {Load: owner.Load{WaitMillis: 0}, Reason: reasonBreakerOpen},
 	}
-	compareWaits(candidates)
+	setOtherWaits(candidates)
 	for index, expected := range []int{100, 200, 100} {
 		assert.Equal(t, candidates[index].OtherWait, time.Duration(expected)*time.Millisecond)
 	}
 	alone := candidates[:1]
 	alone[0].OtherWait = 0
-	compareWaits(alone)
+	setOtherWaits(alone)
 	assert.Equal(t, alone[0].OtherWait, time.Duration(0))
 }
 
-// TestSlownessIsRelative to the median, and unknown without enough to compare with.
-func TestSlownessIsRelative(t *testing.T) {
+// TestSlowness checks the multiple of the median, and that it is 1 with too few samples.
+func TestSlowness(t *testing.T) {
 	candidates := []Candidate{{Load: owner.Load{StepMicros: 10000}}, {Load: owner.Load{StepMicros: 12000}}, {Load: owner.Load{StepMicros: 48000}}, {}}
-	compareSteps(candidates)
+	setSlowness(candidates)
 	assert.Equal(t, candidates[2].Slowness, 4.0)
 	assert.Equal(t, candidates[3].Slowness, 1.0)
-	compareSteps(candidates[1:])
+	setSlowness(candidates[1:])
 	assert.Equal(t, candidates[2].Slowness, 1.0)
 }
 
-// TestRoundRobinIsAPolicy: least recently chosen first visits all in turn.
-func TestRoundRobinIsAPolicy(t *testing.T) {
+// TestRoundRobinPolicy checks that a score of engine.unused_seconds chooses all engines in turn.
+func TestRoundRobinPolicy(t *testing.T) {
 	reserver := &owners{free: map[string]bool{"e1": true, "e2": true, "e3": true}}
 	scheduler := newScheduler(reserver)
 	rules := compile(t, resource.Policy{Score: "engine.unused_seconds"})
