--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -1,6 +1,6 @@
-// Package owner keeps the exact load of the engines that this node owns: who runs there, who waits
-// and in what order, and whether the engine works. Placement asks the owner before it sends; two
-// owners at once may overload an engine for a moment, and nothing worse.
+// Package owner keeps the exact load of the engines that this node owns: the calls that run, the queue, and a circuit
+// breaker. A call is sent to an engine only with a slot from its owner. While two nodes take themselves for the owner, the
+// engine may be overloaded; nothing else depends on there being one.
 package owner
 
 import (
@@ -10,118 +10,120 @@
 	"github.com/mountstile/mountstile/internal/clock"
 )
 
-// Load is an engine's state as its owner knows it; it travels with every answer.
+// Load is an engine's state at its owner, which every ReserveResponse carries.
 type Load struct {
 	Engine  string `json:"e"`
 	Running int    `json:"r"`
 	Waiting int    `json:"w"`
 	Slots   int    `json:"s"`
-	// WaitMillis is how long a call that comes now would stand in line.
+	// WaitMillis is the expected queue time of a new call.
 	WaitMillis int64 `json:"t,omitempty"`
-	// StepMicros is how long the engine takes from one token to the next; 0 if not known lately.
+	// StepMicros is the average time per token; 0 if no call has reported one within stepTTL.
 	StepMicros int64 `json:"p,omitempty"`
-	// Open tells that the circuit breaker keeps work away.
+	// BreakerOpen is set while the circuit breaker rejects calls.
 	BreakerOpen bool `json:"o,omitempty"`
-	// Draining engines get no new work.
+	// Draining engines get no new calls.
 	Draining bool `json:"d,omitempty"`
 }
 
 const (
-	// breakerFailures in a row open the breaker.
+	// breakerFailures is the number of consecutive failures that opens the breaker.
 	breakerFailures = 3
 	breakerMinOpen  = time.Second
 	breakerMaxOpen  = 30 * time.Second
-	// slowStartFraction of the slots is open to a recovered engine at first; each success adds one.
-	slowStartFraction = 4
-	// serviceTimeWeight is the share of the newest sample in the average service time.
-	serviceTimeWeight = 0.1
-	// stepTime is how long a step time is believed: an engine that is avoided for being slow gets
-	// calls again after it.
-	stepTime = 10 * time.Second
-	// stepWeight is the share of the newest step time in the average.
-	stepWeight = 0.3
-	// ageingPerSecond raises the rank of a waiting call, so that none starves.
-	ageingPerSecond = 1.0
-	// withdrawalKept is for how long a withdrawal waits for its request.
-	withdrawalKept = 30 * time.Second
+	// slowStartDivisor divides the slots of an engine whose breaker has closed again; each success adds a slot.
+	slowStartDivisor = 4
+	// serviceTimeSmoothing is the weight of the newest sample in the moving average of service times.
+	serviceTimeSmoothing = 0.1
+	// stepTTL is how long a step time is reported, so that an engine avoided as slow is tried again.
+	stepTTL = 10 * time.Second
+	// stepSmoothing is the weight of the newest sample in the moving average of step times.
+	stepSmoothing = 0.3
+	// agingPerSecond is added to the rank of a queued call, so that none starves.
+	agingPerSecond = 1.0
+	// cancellationTTL is how long a cancellation that arrived before its request is kept.
+	cancellationTTL = 30 * time.Second
 )
 
-// waiting is a call in the line.
-type waiting struct {
+// waiter is a queued call.
+type waiter struct {
 	request  ReserveRequest
-	since    time.Time
-	granted  clock.Signal
-	finished bool
+	queuedAt time.Time
+	// granted is fired when the call gets a slot or is cancelled; hasSlot tells them apart.
+	granted clock.Signal
+	hasSlot bool
 }
 
 type reservation struct {
-	request ReserveRequest
-	since   time.Time
-	expires time.Time
+	request   ReserveRequest
+	startedAt time.Time
+	expires   time.Time
 }
 
-// engineState is one engine's line. Owner's mutex guards it.
+// engineState holds the running calls, the queue and the breaker of one engine. The mutex of Queues guards it.
 type engineState struct {
-	name        string
-	slots       int
-	draining    bool
-	running     map[string]reservation
-	line        []*waiting
-	failures    int
-	openUntil   time.Time
-	openFor     time.Duration
-	startLimit  int
-	serviceTime time.Duration
-	// stepMicros averages the calls' step times; stepAt is when the latest came.
+	name           string
+	slots          int
+	draining       bool
+	running        map[string]reservation
+	queue          []*waiter
+	failures       int
+	openUntil      time.Time
+	openDuration   time.Duration
+	slowStartLimit int
+	serviceTime    time.Duration
+	// stepMicros is the moving average of the calls' step times, stepAt the time of the latest sample.
 	stepMicros float64
 	stepAt     time.Time
-	// withdrawn is when requests were withdrawn that are not here.
-	withdrawn map[uint64]time.Time
+	// cancelled holds the times of cancellations whose requests have not arrived, by ticket.
+	cancelled map[uint64]time.Time
 }
 
 func newEngineState(name string) *engineState {
-	return &engineState{name: name, running: make(map[string]reservation), withdrawn: make(map[uint64]time.Time)}
+	return &engineState{name: name, running: make(map[string]reservation), cancelled: make(map[uint64]time.Time)}
 }
 
 func (e *engineState) load(now time.Time) Load {
 	load := Load{
 		Engine:      e.name,
 		Running:     len(e.running),
-		Waiting:     len(e.line),
+		Waiting:     len(e.queue),
 		Slots:       e.slots,
 		BreakerOpen: now.Before(e.openUntil),
 		Draining:    e.draining,
 	}
-	if now.Sub(e.stepAt) < stepTime {
+	if now.Sub(e.stepAt) < stepTTL {
 		load.StepMicros = int64(e.stepMicros)
 	}
-	if len(e.line) > 0 || len(e.running) >= e.capacity(now) {
+	if len(e.queue) > 0 || len(e.running) >= e.capacity(now) {
 		load.WaitMillis = e.expectedWait(now).Milliseconds()
 	}
 	return load
 }
 
-// capacity is how many calls may run now.
+// capacity returns how many calls may run now.
 func (e *engineState) capacity(now time.Time) int {
 	switch {
 	case e.draining || now.Before(e.openUntil):
 		return 0
 	case e.failures >= breakerFailures:
-		// The breaker is half open: one call finds out.
+		// The breaker is half open: one trial call decides whether it closes.
 		return 1
-	case e.startLimit > 0:
-		return min(e.startLimit, e.slots)
+	case e.slowStartLimit > 0:
+		return min(e.slowStartLimit, e.slots)
 	default:
 		return e.slots
 	}
 }
 
+// grant gives a slot to a request, whether or not there is capacity.
 func (e *engineState) grant(request ReserveRequest, now time.Time) {
-	e.running[request.CallID] = reservation{request: request, since: now, expires: now.Add(request.expiry())}
+	e.running[request.CallID] = reservation{request: request, startedAt: now, expires: now.Add(request.expiry())}
 }
 
-// finish ends a reservation and learns from it.
-func (e *engineState) finish(request ReleaseRequest, now time.Time) (changed, known bool) {
+// finish ends a reservation and records its outcome. It reports whether the breaker has opened, and whether there was such a
+// reservation.
+func (e *engineState) finish(request ReleaseRequest, now time.Time) (opened, known bool) {
 	held, known := e.running[request.CallID]
 	if !known {
 		return false, false
@@ -134,78 +136,77 @@
 	if request.Failed {
 		return e.recordFailure(now), true
 	}
-	e.recordSuccess(now.Sub(held.since))
+	e.recordSuccess(now.Sub(held.startedAt))
 	return false, true
 }
 
-// recordStep learns how fast the engine generates.
+// recordStep adds a sample to the average time per token; after stepTTL without samples the average starts anew.
 func (e *engineState) recordStep(micros int64, now time.Time) {
 	if micros <= 0 {
 		return
 	}
-	if now.Sub(e.stepAt) >= stepTime {
+	if now.Sub(e.stepAt) >= stepTTL {
 		e.stepMicros = float64(micros)
 	}
-	e.stepMicros += stepWeight * (float64(micros) - e.stepMicros)
+	e.stepMicros += stepSmoothing * (float64(micros) - e.stepMicros)
 	e.stepAt = now
 }
 
-// recordFailure reports whether the breaker has just opened.
+// recordFailure reports whether the failure has opened the breaker.
 func (e *engineState) recordFailure(now time.Time) bool {
 	e.failures++
 	if e.failures < breakerFailures {
 		return false
 	}
-	e.openFor = min(max(breakerMinOpen, e.openFor*2), breakerMaxOpen)
-	e.openUntil = now.Add(e.openFor)
-	e.startLimit = max(1, e.slots/slowStartFraction)
+	e.openDuration = min(max(breakerMinOpen, e.openDuration*2), breakerMaxOpen)
+	e.openUntil = now.Add(e.openDuration)
+	e.slowStartLimit = max(1, e.slots/slowStartDivisor)
 	return true
 }
 
 func (e *engineState) recordSuccess(took time.Duration) {
-	e.failures, e.openFor = 0, 0
-	if e.startLimit > 0 {
-		e.startLimit++
-		if e.startLimit >= e.slots {
-			e.startLimit = 0
+	e.failures, e.openDuration = 0, 0
+	if e.slowStartLimit > 0 {
+		e.slowStartLimit++
+		if e.slowStartLimit >= e.slots {
+			e.slowStartLimit = 0
 		}
 	}
 	if e.serviceTime == 0 {
 		e.serviceTime = took
 		return
 	}
-	e.serviceTime += time.Duration(serviceTimeWeight * float64(took-e.serviceTime))
+	e.serviceTime += time.Duration(serviceTimeSmoothing * float64(took-e.serviceTime))
 }
 
-// expectedWait estimates how long a call at the end of the line would wait: until the breaker lets
-// calls through, and then for those before it.
+// expectedWait estimates the queue time of a new call: until the breaker admits calls, and then for those ahead in the queue.
 func (e *engineState) expectedWait(now time.Time) time.Duration {
 	if e.slots == 0 {
 		return 0
 	}
-	closed := max(0, e.openUntil.Sub(now))
-	return closed + e.serviceTime*time.Duration(len(e.line)+1)/time.Duration(e.slots)
+	breakerWait := max(0, e.openUntil.Sub(now))
+	return breakerWait + e.serviceTime*time.Duration(len(e.queue)+1)/time.Duration(e.slots)
 }
 
-// next takes the waiting call that goes first: of the tenant that has least of the engine for its
-// weight, the one with the highest rank, raised by its age.
-func (e *engineState) next(now time.Time) *waiting {
+// next removes and returns the call to run next: of the tenant with the smallest weighted share of the engine, the one with
+// the highest rank after aging.
+func (e *engineState) next(now time.Time) *waiter {
 	shares := e.shares()
 	best := -1
-	for position := range e.line {
-		if best < 0 || e.goesBefore(e.line[position], e.line[best], shares, now) {
+	for position := range e.queue {
+		if best < 0 || e.precedes(e.queue[position], e.queue[best], shares, now) {
 			best = position
 		}
 	}
 	if best < 0 {
 		return nil
 	}
-	chosen := e.line[best]
-	e.line = append(e.line[:best], e.line[best+1:]...)
+	chosen := e.queue[best]
+	e.queue = append(e.queue[:best], e.queue[best+1:]...)
 	return chosen
 }
 
-// shares is what each tenant runs here, divided by its weight.
+// shares returns each tenant's running calls divided by its weight.
 func (e *engineState) shares() map[string]float64 {
 	shares := make(map[string]float64)
 	for _, held := range e.running {
@@ -214,24 +215,24 @@
 	return shares
 }
 
-func (e *engineState) goesBefore(a, b *waiting, shares map[string]float64, now time.Time) bool {
+func (e *engineState) precedes(a, b *waiter, shares map[string]float64, now time.Time) bool {
 	if shareA, shareB := shares[a.request.Tenant], shares[b.request.Tenant]; shareA != shareB {
 		return shareA < shareB
 	}
 	return a.rank(now) > b.rank(now)
 }
 
-func (w *waiting) rank(now time.Time) float64 {
-	return w.request.Rank + ageingPerSecond*now.Sub(w.since).Seconds()
+func (w *waiter) rank(now time.Time) float64 {
+	return w.request.Rank + agingPerSecond*now.Sub(w.queuedAt).Seconds()
 }
 
-// withdraw takes back a request for a place. One that did not come yet is refused when it does: a
-// withdrawal may overtake it.
-func (e *engineState) withdraw(ticket uint64, now time.Time) {
-	for _, item := range e.line {
-		if item.request.Ticket == ticket {
-			e.remove(item)
-			item.granted.Fire()
+// cancel removes a request from the queue or frees its slot. A cancellation may overtake its request, which is then refused
+// when it arrives.
+func (e *engineState) cancel(ticket uint64, now time.Time) {
+	for _, queued := range e.queue {
+		if queued.request.Ticket == ticket {
+			e.remove(queued)
+			queued.granted.Fire()
 			return
 		}
 	}
@@ -241,25 +242,25 @@
 			return
 		}
 	}
-	e.withdrawn[ticket] = now
+	e.cancelled[ticket] = now
 }
 
-// arrives reports whether a request still stands, or was withdrawn before it came.
-func (e *engineState) arrives(ticket uint64) bool {
-	_, gone := e.withdrawn[ticket]
-	delete(e.withdrawn, ticket)
-	return !gone
+// accept reports whether a request was not cancelled before it arrived, and forgets the cancellation.
+func (e *engineState) accept(ticket uint64) bool {
+	_, found := e.cancelled[ticket]
+	delete(e.cancelled, ticket)
+	return !found
 }
 
-// forget drops withdrawals whose requests came and went before them.
-func (e *engineState) forget(now time.Time) {
-	maps.DeleteFunc(e.withdrawn, func(_ uint64, at time.Time) bool { return now.Sub(at) > withdrawalKept })
+// dropCancellations removes cancellations whose requests will not arrive any more.
+func (e *engineState) dropCancellations(now time.Time) {
+	maps.DeleteFunc(e.cancelled, func(_ uint64, at time.Time) bool { return now.Sub(at) > cancellationTTL })
 }
 
-func (e *engineState) remove(target *waiting) {
-	for position, item := range e.line {
-		if item == target {
-			e.line = append(e.line[:position], e.line[position+1:]...)
+func (e *engineState) remove(target *waiter) {
+	for position, queued := range e.queue {
+		if queued == target {
+			e.queue = append(e.queue[:position], e.queue[position+1:]...)
 			return
 		}
 	}
--- a/internal/owner/engine_test.go
+++ b/internal/owner/engine_test.go
@@ -19,21 +19,21 @@
 	return state
 }
 
-func (e *engineState) enqueue(callID, tenant string, weight, rank float64, since time.Time) {
-	e.line = append(e.line, &waiting{request: ReserveRequest{CallID: callID, Tenant: tenant, Weight: weight, Rank: rank}, since: since, granted: clock.Real{}.NewSignal()})
+func (e *engineState) enqueue(callID, tenant string, weight, rank float64, queuedAt time.Time) {
+	e.queue = append(e.queue, &waiter{request: ReserveRequest{CallID: callID, Tenant: tenant, Weight: weight, Rank: rank}, queuedAt: queuedAt, granted: clock.Real{}.NewSignal()})
 }
 
-func TestLineGoesByRankAndAge(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	state := newEngine(1)
 	state.enqueue("low", "t", 1, 0, start)
 	state.enqueue("high", "t", 1, 5, start)
 	assert.Equal(t, state.next(start).request.CallID, "high")
 	state.enqueue("late", "t", 1, 5, start.Add(10*time.Second))
-	assert.Equal(t, state.next(start.Add(10*time.Second)).request.CallID, "low", "age has overtaken rank")
+	assert.Equal(t, state.next(start.Add(10*time.Second)).request.CallID, "low", "aging outweighs the initial rank")
 }
 
-// TestLineSharesByWeight fills an engine from an endless line of two tenants: places go 2 to 1.
-func TestLineSharesByWeight(t *testing.T) {
+// TestQueueSharesByWeight checks that slots are shared by weight when two tenants have long queues.
+func TestQueueSharesByWeight(t *testing.T) {
 	state := newEngine(9)
 	for range 20 {
 		state.enqueue("greedy", "greedy", 1, 100, start)
@@ -49,10 +49,10 @@
 	assert.DeepEqual(t, counts, map[string]int{"greedy": 3, "heavy": 6})
 }
 
-// TestWithdrawalWorksInAnyOrder: a request that is withdrawn in line, after its grant, or before it came,
-// holds no place; another request of the same call keeps its own.
-func TestWithdrawalWorksInAnyOrder(t *testing.T) {
-	lines := NewQueues(QueuesOptions{
+// TestCancellationInAnyOrder checks that a request cancelled in the queue, after its grant, or before its arrival holds no slot,
+// and that another request of the same call keeps its slot.
+func TestCancellationInAnyOrder(t *testing.T) {
+	queues := NewQueues(QueuesOptions{
 		Clock:       clock.Real{},
 		FindEngine:  func(name string) (resource.Engine, bool) { return resource.Engine{Name: name, Slots: 1}, true },
 		GatewayLost: func(string) bool { return false },
@@ -60,35 +60,35 @@
 	})
 	reserve := func(call string, ticket uint64, wait time.Duration) chan bool {
 		granted := make(chan bool, 1)
-		item, response, err := lines.enter(ReserveRequest{Engine: "e", CallID: call, Ticket: ticket, WaitMillis: wait.Milliseconds(), CallMillis: 1000})
+		waiting, response, err := queues.tryReserve(ReserveRequest{Engine: "e", CallID: call, Ticket: ticket, WaitMillis: wait.Milliseconds(), CallMillis: 1000})
 		assert.NilError(t, err)
-		if item == nil {
+		if waiting == nil {
 			granted <- response.Granted
 			return granted
 		}
 		go func() {
-			item.granted.Wait(t.Context(), wait)
-			granted <- lines.leave(item, false).Granted
+			waiting.granted.Wait(t.Context(), wait)
+			granted <- queues.endWait(waiting, false).Granted
 		}()
 		return granted
 	}
-	withdraw := func(ticket uint64) { lines.Release(ReleaseRequest{Engine: "e", Ticket: ticket}) }
+	cancel := func(ticket uint64) { queues.Release(ReleaseRequest{Engine: "e", Ticket: ticket}) }
 	assert.Assert(t, <-reserve("first", 1, 0))
-	inLine := reserve("second", 2, time.Hour)
-	withdraw(2)
-	assert.Assert(t, !<-inLine)
-	withdraw(3)
-	assert.Assert(t, !<-reserve("third", 3, time.Hour), "the withdrawal has overtaken its request")
+	queued := reserve("second", 2, time.Hour)
+	cancel(2)
+	assert.Assert(t, !<-queued)
+	cancel(3)
+	assert.Assert(t, !<-reserve("third", 3, time.Hour), "the cancellation arrived before its request")
 	next := reserve("fourth", 4, time.Hour)
-	withdraw(1)
-	assert.Assert(t, <-next, "the place of a withdrawn request goes to the next")
-	withdraw(5)
+	cancel(1)
+	assert.Assert(t, <-next, "the slot of a cancelled request goes to the next")
+	cancel(5)
 	assert.Assert(t, !<-reserve("fourth", 5, 0))
-	assert.Equal(t, lines.Loads()[0].Running, 1, "the call's other request keeps its place")
+	assert.Equal(t, queues.Loads()[0].Running, 1, "the call's other request keeps its slot")
 }
 
-// TestIdleShareIsBorrowed: a tenant alone gets everything.
-func TestIdleShareIsBorrowed(t *testing.T) {
+// TestIdleSharesAreUsed checks that a single tenant gets all slots, whatever its weight.
+func TestIdleSharesAreUsed(t *testing.T) {
 	state := newEngine(4)
 	for range 6 {
 		state.enqueue("x", "light", 0.1, 0, start)
@@ -101,7 +101,7 @@
 	assert.Equal(t, len(state.running), 4)
 }
 
-func TestBreakerOpensTriesAndStartsSlowly(t *testing.T) {
+func TestBreakerOpensAndSlowStarts(t *testing.T) {
 	state := newEngine(8)
 	now := start
 	fail := func() {
@@ -114,13 +114,13 @@
 	}
 	assert.Equal(t, state.capacity(now), 0)
 	now = now.Add(breakerMinOpen)
-	assert.Equal(t, state.capacity(now), 1, "one call finds out")
+	assert.Equal(t, state.capacity(now), 1, "one trial call")
 	fail()
-	assert.Equal(t, state.capacity(now.Add(breakerMinOpen)), 0, "the second pause is longer")
+	assert.Equal(t, state.capacity(now.Add(breakerMinOpen)), 0, "the breaker stays open for longer the second time")
 	now = now.Add(2 * breakerMinOpen)
 	state.grant(ReserveRequest{CallID: "c", CallMillis: 1000}, now)
 	state.finish(ReleaseRequest{CallID: "c"}, now)
-	assert.Equal(t, state.capacity(now), 8/slowStartFraction+1)
+	assert.Equal(t, state.capacity(now), 8/slowStartDivisor+1)
 	for range 8 {
 		state.grant(ReserveRequest{CallID: "c", CallMillis: 1000}, now)
 		state.finish(ReleaseRequest{CallID: "c"}, now)
@@ -128,13 +128,13 @@
 	assert.Equal(t, state.capacity(now), 8)
 }
 
-func TestDrainingEngineTakesNothing(t *testing.T) {
+func TestDrainingEngineHasNoCapacity(t *testing.T) {
 	state := newEngine(4)
 	state.draining = true
 	assert.Equal(t, state.capacity(start), 0)
 }
 
-func TestExpectedWaitGrowsWithTheLine(t *testing.T) {
+func TestExpectedWaitGrowsWithQueue(t *testing.T) {
 	state := newEngine(2)
 	state.recordSuccess(10 * time.Second)
 	assert.Equal(t, state.expectedWait(start), 5*time.Second)
@@ -142,8 +142,8 @@
 	assert.Equal(t, state.expectedWait(start), 10*time.Second)
 }
 
-// TestStepTimesAreAveragedAndForgotten: an engine that nobody calls any more is not slow for ever.
-func TestStepTimesAreAveragedAndForgotten(t *testing.T) {
+// TestStepTimeAverageExpires checks that an engine without calls does not keep its step time.
+func TestStepTimeAverageExpires(t *testing.T) {
 	state := newEngine(1)
 	finish := func(micros int64, now time.Time) {
 		state.grant(ReserveRequest{CallID: "c"}, now)
@@ -153,32 +153,32 @@
 	finish(20000, start)
 	finish(0, start.Add(time.Second))
 	assert.Equal(t, state.load(start.Add(time.Second)).StepMicros, int64(13000))
-	assert.Equal(t, state.load(start.Add(stepTime)).StepMicros, int64(0))
-	finish(40000, start.Add(2*stepTime))
-	assert.Equal(t, state.load(start.Add(2*stepTime)).StepMicros, int64(40000))
+	assert.Equal(t, state.load(start.Add(stepTTL)).StepMicros, int64(0))
+	finish(40000, start.Add(2*stepTTL))
+	assert.Equal(t, state.load(start.Add(2*stepTTL)).StepMicros, int64(40000))
 }
 
-// TestNobodyWaitsLongerForAnOpenBreaker: a call that may wait for a second is refused at once while the
-// breaker stays open for longer, and one that may wait for long stays in line.
-func TestNobodyWaitsLongerForAnOpenBreaker(t *testing.T) {
+// TestOpenBreakerRefusesShortWaits checks that a call is refused at once if the breaker stays open for longer than it may wait,
+// and is queued otherwise.
+func TestOpenBreakerRefusesShortWaits(t *testing.T) {
 	now := start
-	lines := NewQueues(QueuesOptions{
+	queues := NewQueues(QueuesOptions{
 		Clock:       clock.NewVirtual(now),
 		FindEngine:  func(name string) (resource.Engine, bool) { return resource.Engine{Name: name, Slots: 1}, true },
 		GatewayLost: func(string) bool { return false },
 		Logger:      events.Discard(),
 	})
 	for _, id := range []string{"a", "b", "c"} {
-		_, response, err := lines.enter(ReserveRequest{Engine: "e", CallID: id})
+		_, response, err := queues.tryReserve(ReserveRequest{Engine: "e", CallID: id})
 		assert.NilError(t, err)
 		assert.Assert(t, response.Granted)
-		lines.Release(ReleaseRequest{Engine: "e", CallID: id, Failed: true})
+		queues.Release(ReleaseRequest{Engine: "e", CallID: id, Failed: true})
 	}
-	item, response, err := lines.enter(ReserveRequest{Engine: "e", CallID: "hasty", WaitMillis: 500})
+	waiting, response, err := queues.tryReserve(ReserveRequest{Engine: "e", CallID: "hasty", WaitMillis: 500})
 	assert.NilError(t, err)
-	assert.Assert(t, item == nil && !response.Granted)
+	assert.Assert(t, waiting == nil && !response.Granted)
 	assert.Assert(t, response.Loads[0].BreakerOpen && response.Loads[0].WaitMillis == breakerMinOpen.Milliseconds())
-	item, _, err = lines.enter(ReserveRequest{Engine: "e", CallID: "patient", WaitMillis: 5000})
+	waiting, _, err = queues.tryReserve(ReserveRequest{Engine: "e", CallID: "patient", WaitMillis: 5000})
 	assert.NilError(t, err)
-	assert.Assert(t, item != nil)
+	assert.Assert(t, waiting != nil)
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -17,14 +17,14 @@
 	releaseKind = "release"
 
 	sweepInterval = 500 * time.Millisecond
-	// reservationGrace is how long a reservation outlives its call's deadline.
+	// reservationGrace is how long after its call's deadline a reservation expires.
 	reservationGrace = 5 * time.Second
 	minRetryAfter    = 100 * time.Millisecond
 )
 
-// ReserveRequest asks for a place on an engine.
+// ReserveRequest requests a slot on an engine.
 type ReserveRequest struct {
-	// Ticket identifies the request, so that it can be withdrawn; 0 means that it never is.
+	// Ticket identifies the request for cancellation; 0 if it is never cancelled.
 	Ticket  uint64  `json:"ticket,omitempty"`
 	Engine  string  `json:"engine"`
 	CallID  string  `json:"call"`
@@ -32,9 +32,9 @@
 	Weight  float64 `json:"weight"`
 	Gateway string  `json:"gateway"`
 	Rank    float64 `json:"rank"`
-	// WaitMillis is how long the call may stand in line; 0 means that it may not.
+	// WaitMillis is how long the call may be queued; 0 means not at all.
 	WaitMillis int64 `json:"wait_ms,omitempty"`
-	// CallMillis is how long the call may run.
+	// CallMillis is the call's timeout, from which the reservation's expiry follows.
 	CallMillis int64 `json:"call_ms"`
 }
 
@@ -42,45 +42,45 @@
 	return time.Duration(r.CallMillis)*time.Millisecond + reservationGrace
 }
 
-// ReserveResponse tells whether the place was granted, and the load of all engines of the owner.
+// ReserveResponse holds the result of a ReserveRequest and the loads of all engines at the owner.
 type ReserveResponse struct {
 	Granted bool `json:"granted"`
-	// Queued tells that the call stood in line.
+	// Queued is set if the call was queued.
 	Queued bool `json:"queued,omitempty"`
-	// Overloaded means that the line is so long that waiting would be in vain.
+	// Overloaded is set if the expected queue time exceeds WaitMillis, or the wait has timed out.
 	Overloaded bool   `json:"overloaded,omitempty"`
 	RetryAfter int64  `json:"retry_after_ms,omitempty"`
 	Loads      []Load `json:"loads"`
 }
 
-// ReleaseRequest gives a place back.
+// ReleaseRequest frees a call's slot, or cancels a ReserveRequest.
 type ReleaseRequest struct {
 	Engine string `json:"engine"`
 	CallID string `json:"call"`
-	// Ticket withdraws one request for a place, wherever it is: on its way, in line or granted. Other
-	// requests of the same call stand.
+	// Ticket, if set, cancels one ReserveRequest, whether it has not arrived yet, is queued or is granted. Other requests
+	// of the same call are not affected.
 	Ticket uint64 `json:"ticket,omitempty"`
-	// Unused tells that the call never went to the engine.
+	// Unused is set if the call was not sent to the engine, so that it is no sample of the engine's health.
 	Unused bool `json:"unused,omitempty"`
-	// Failed tells that the engine did not do its work.
+	// Failed is set if the engine failed the call; it counts for the circuit breaker.
 	Failed bool `json:"failed,omitempty"`
-	// StepMicros is how long the engine took from one token to the next; 0 if unknown.
+	// StepMicros is the call's time per token; 0 if unknown.
 	StepMicros int64 `json:"step_us,omitempty"`
 }
 
-// Owner answers other nodes about the engines that this node owns.
+// Owner serves reservations of the engines that this node owns to this node and to others.
 type Owner struct {
 	*Queues
 	config *configuration.Manager
 }
 
-// New returns an Owner and registers its messages.
+// New returns an Owner and registers its message handlers.
 func New(network *transport.Transport, members *membership.Manager, config *configuration.Manager, logger *events.Logger) *Owner {
 	owner := &Owner{config: config}
 	owner.Queues = NewQueues(QueuesOptions{
 		Clock:       clock.Real{},
 		FindEngine:  owner.find,
-		GatewayLost: func(gateway string) bool { return isGone(members.View(), gateway) },
+		GatewayLost: func(gateway string) bool { return isGatewayLost(members.View(), gateway) },
 		Logger:      logger,
 	})
 	transport.Handle(network, reserveKind, func(ctx context.Context, _ transport.Peer, request ReserveRequest) (ReserveResponse, error) {
@@ -91,7 +91,7 @@
 	return owner
 }
 
-func isGone(view *membership.View, gateway string) bool {
+func isGatewayLost(view *membership.View, gateway string) bool {
 	member, known := view.Get(gateway)
 	return known && !member.Usable()
 }
@@ -111,7 +111,7 @@
 	return resource.Engine{}, false
 }
 
-// Run frees the places of gateways that died and of calls past their time, until the context ends.
+// Run calls Sweep periodically until the context ends.
 func (o *Owner) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -125,13 +125,13 @@
 	}
 }
 
-// ReserveRemote reserves at the owner on another node.
+// ReserveRemote sends a ReserveRequest to the owner at address.
 func ReserveRemote(ctx context.Context, network *transport.Transport, address string, request ReserveRequest) (ReserveResponse, error) {
 	return transport.Call[ReserveResponse](ctx, network, address, reserveKind, request)
 }
 
-// ReleaseRemote releases at the owner on another node. A lost message is made good by the reservation's
-// expiry.
+// ReleaseRemote sends a ReleaseRequest to the owner at address, without an acknowledgement. If the message is lost, the slot is
+// freed when the reservation expires.
 func ReleaseRemote(network *transport.Transport, address string, request ReleaseRequest) {
 	network.Send(address, releaseKind, request)
 }
--- a/internal/owner/queues.go
+++ b/internal/owner/queues.go
@@ -13,18 +13,18 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// QueuesOptions configure Queues.
+// QueuesOptions configures Queues.
 type QueuesOptions struct {
 	Clock clock.Clock
-	// Find returns an engine as configured now.
+	// FindEngine returns an engine of the configuration in force.
 	FindEngine func(name string) (resource.Engine, bool)
-	// Gone reports whether a gateway is known to be lost.
+	// GatewayLost reports whether a gateway is known to have failed or left, so that its reservations can be freed.
 	GatewayLost func(gateway string) bool
 	Logger      *events.Logger
 }
 
-// Queues keeps the engines that this node was asked about, and the calls that wait for them. It is
-// safe for concurrent use.
+// Queues keeps the running and queued calls of the engines for which this node has got reservation requests. It is safe for
+// concurrent use.
 type Queues struct {
 	options QueuesOptions
 
@@ -32,12 +32,12 @@
 	engines map[string]*engineState
 }
 
-// NewQueues returns Queues without engines; each appears with the first reservation.
+// NewQueues returns Queues without engines; an engine is added by its first reservation request.
 func NewQueues(options QueuesOptions) *Queues {
 	return &Queues{options: options, engines: make(map[string]*engineState)}
 }
 
-// Reconfigure takes over slots and draining; they hold with the next reservation.
+// Reconfigure updates the engines' slots and draining from the configuration. An engine that is no longer configured drains.
 func (q *Queues) Reconfigure() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -45,7 +45,7 @@
 	for name, state := range q.engines {
 		engine, exists := q.options.FindEngine(name)
 		state.slots, state.draining = engine.Slots, engine.Draining || !exists
-		q.serve(state, now)
+		q.grantQueued(state, now)
 	}
 }
 
@@ -63,20 +63,20 @@
 	return created, nil
 }
 
-// Reserve grants a place, or puts the call in line for up to WaitMillis.
+// Reserve grants a slot, or queues the call for up to WaitMillis.
 func (q *Queues) Reserve(ctx context.Context, request ReserveRequest) (ReserveResponse, error) {
-	item, response, err := q.enter(request)
-	if err != nil || item == nil {
+	queued, response, err := q.tryReserve(request)
+	if err != nil || queued == nil {
 		return response, err
 	}
-	item.granted.Wait(ctx, time.Duration(request.WaitMillis)*time.Millisecond)
-	response = q.leave(item, ctx.Err() != nil)
+	queued.granted.Wait(ctx, time.Duration(request.WaitMillis)*time.Millisecond)
+	response = q.endWait(queued, ctx.Err() != nil)
 	response.Queued = true
 	return response, nil
 }
 
-// enter grants at once, refuses, or returns the place in line.
-func (q *Queues) enter(request ReserveRequest) (*waiting, ReserveResponse, error) {
+// tryReserve grants or refuses a request at once, or queues it and returns the waiter.
+func (q *Queues) tryReserve(request ReserveRequest) (*waiter, ReserveResponse, error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	state, err := q.state(request.Engine)
@@ -84,10 +84,10 @@
 		return nil, ReserveResponse{}, err
 	}
 	now := q.options.Clock.Now()
-	if !state.arrives(request.Ticket) {
+	if !state.accept(request.Ticket) {
 		return nil, q.response(false), nil
 	}
-	if len(state.line) == 0 && len(state.running) < state.capacity(now) {
+	if len(state.queue) == 0 && len(state.running) < state.capacity(now) {
 		state.grant(request, now)
 		return nil, q.response(true), nil
 	}
@@ -99,29 +99,29 @@
 		refusal.RetryAfter = max(expected-wait, minRetryAfter).Milliseconds()
 		return nil, refusal, nil
 	}
-	item := &waiting{request: request, since: now, granted: q.options.Clock.NewSignal()}
-	state.line = append(state.line, item)
-	return item, ReserveResponse{}, nil
+	queued := &waiter{request: request, queuedAt: now, granted: q.options.Clock.NewSignal()}
+	state.queue = append(state.queue, queued)
+	return queued, ReserveResponse{}, nil
 }
 
-// leave ends the wait. A place that was granted to a call that has gone goes to the next.
-func (q *Queues) leave(item *waiting, abandoned bool) ReserveResponse {
+// endWait removes the waiter if it has no slot yet. A slot granted to a cancelled request goes to the next call.
+func (q *Queues) endWait(queued *waiter, cancelled bool) ReserveResponse {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	state := q.engines[item.request.Engine]
-	granted := item.finished
+	state := q.engines[queued.request.Engine]
+	granted := queued.hasSlot
 	if !granted {
-		state.remove(item)
+		state.remove(queued)
 		refusal := q.response(false)
 		refusal.RetryAfter = max(state.expectedWait(q.options.Clock.Now()), minRetryAfter).Milliseconds()
 		refusal.Overloaded = true
 		return refusal
 	}
-	if abandoned {
-		delete(state.running, item.request.CallID)
-		q.serve(state, q.options.Clock.Now())
+	if cancelled {
+		delete(state.running, queued.request.CallID)
+		q.grantQueued(state, q.options.Clock.Now())
 	}
-	return q.response(!abandoned)
+	return q.response(!cancelled)
 }
 
 func (q *Queues) response(granted bool) ReserveResponse {
@@ -137,14 +137,14 @@
 	return loads
 }
 
-// Loads returns the state of all engines that this node was asked about.
+// Loads returns the loads of all engines in Queues.
 func (q *Queues) Loads() []Load {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.loads()
 }
 
-// Release gives a place back and serves the line.
+// Release frees a slot or cancels a request, and grants free slots to queued calls.
 func (q *Queues) Release(request ReleaseRequest) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -154,8 +154,8 @@
 	}
 	now := q.options.Clock.Now()
 	if request.Ticket != 0 {
-		state.withdraw(request.Ticket, now)
-		q.serve(state, now)
+		state.cancel(request.Ticket, now)
+		q.grantQueued(state, now)
 		return
 	}
 	wasFailing := state.failures >= breakerFailures
@@ -164,32 +164,32 @@
 		return
 	}
 	if opened {
-		q.options.Logger.Emit(events.EngineBreakerOpen, events.F("engine", state.name), events.F("seconds", state.openFor.Seconds()))
+		q.options.Logger.Emit(events.EngineBreakerOpen, events.F("engine", state.name), events.F("seconds", state.openDuration.Seconds()))
 	} else if wasFailing && state.failures == 0 {
 		q.options.Logger.Emit(events.EngineBreakerClosed, events.F("engine", state.name))
 	}
-	q.serve(state, now)
+	q.grantQueued(state, now)
 }
 
-// serve grants free places to the line.
-func (q *Queues) serve(state *engineState, now time.Time) {
+// grantQueued grants free slots to queued calls.
+func (q *Queues) grantQueued(state *engineState, now time.Time) {
 	for len(state.running) < state.capacity(now) {
-		item := state.next(now)
-		if item == nil {
+		queued := state.next(now)
+		if queued == nil {
 			return
 		}
-		state.grant(item.request, now)
-		item.finished = true
-		item.granted.Fire()
+		state.grant(queued.request, now)
+		queued.hasSlot = true
+		queued.granted.Fire()
 	}
 }
 
-// Sweep frees the places of gateways that died and of calls past their time.
+// Sweep frees the slots of lost gateways and of expired reservations.
 func (q *Queues) Sweep() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.options.Clock.Now()
-	// In the order of their names, so that an experiment is the same each time.
+	// Sorted, so that experiments are deterministic.
 	for _, name := range slices.Sorted(maps.Keys(q.engines)) {
 		state := q.engines[name]
 		for callID, held := range state.running {
@@ -197,9 +197,9 @@
 				delete(state.running, callID)
 			}
 		}
-		q.serve(state, now)
-		state.forget(now)
-		if len(state.running) == 0 && len(state.line) == 0 && state.failures == 0 && state.draining {
+		q.grantQueued(state, now)
+		state.dropCancellations(now)
+		if len(state.running) == 0 && len(state.queue) == 0 && state.failures == 0 && state.draining {
 			delete(q.engines, name)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -71,7 +71,7 @@
 	Slowness float64
 	// Unused is the time since this scheduler last chose the engine.
 	Unused time.Duration
-	// Reason tells why the candidate was excluded; empty if it was scored.
+	// Reason is why the candidate was excluded; empty if it was scored.
 	Reason string
 }
 
