--- a/internal/policy/cache.go
+++ b/internal/policy/cache.go
@@ -8,23 +8,24 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// Cache holds the compiled policies of the configuration in force.
+// Cache holds the compiled policies of the configuration in force. It is safe for concurrent use.
 type Cache struct {
-	mutex    sync.RWMutex
-	byName   map[string]*Policy
-	standard *Policy
+	mutex   sync.RWMutex
+	byName  map[string]*Policy
+	builtin *Policy
 }
 
-// NewCache returns a Cache with the built-in policy.
+// NewCache returns a Cache with only the built-in policy.
 func NewCache() (*Cache, error) {
-	standard, err := Compile(resource.Policy{})
+	builtin, err := Compile(resource.Policy{})
 	if err != nil {
 		return nil, errors.Wrap(err, "compiling the built-in policy")
 	}
-	return &Cache{standard: standard, byName: make(map[string]*Policy)}, nil
+	return &Cache{builtin: builtin, byName: make(map[string]*Policy)}, nil
 }
 
-// Check compiles all policies of a set; it is configuration.Options.Check.
+// Check compiles all policies of a set, and returns the first error as a *resource.FieldError if the source is at fault. It is
+// used as configuration.Options.Check.
 func Check(set *resource.Set) error {
 	for _, item := range set.List() {
 		if item.Policy == nil {
@@ -45,7 +46,7 @@
 	return err
 }
 
-// Install replaces the compiled policies. The set has passed Check.
+// Install replaces the compiled policies by those of a set that has passed Check.
 func (c *Cache) Install(set *resource.Set) {
 	compiled := make(map[string]*Policy)
 	for _, item := range set.List() {
@@ -61,16 +62,16 @@
 	c.byName = compiled
 }
 
-// ErrMissing means that a service's policy is not compiled on this node.
+// ErrMissing is returned if a service refers to a policy that is not compiled on this node.
 type ErrMissing struct{ Name string }
 
 // Error implements error.
 func (e *ErrMissing) Error() string { return "policy " + e.Name + " is not compiled" }
 
-// ForService returns a service's policy; it never falls back to another one.
+// ForService returns a service's policy, which is the built-in one only if the service names none.
 func (c *Cache) ForService(service *resource.Service) (*Policy, error) {
 	if service.Policy == "" {
-		return c.standard, nil
+		return c.builtin, nil
 	}
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
--- a/internal/policy/cases.go
+++ b/internal/policy/cases.go
@@ -10,13 +10,13 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// Case is one test of a policy: inputs by their documented names, and what is expected of a hook.
+// Case is an operator's test of one hook of a policy. Inputs are keyed by the names of variables; others are zero.
 type Case struct {
 	Name   string         `yaml:"name"`
 	Policy string         `yaml:"policy"`
 	Hook   string         `yaml:"hook"`
 	Inputs map[string]any `yaml:"inputs"`
-	// Expect is a bool, or a number that must be met to one part in a million.
+	// Expect is a bool, or a number that is compared within tolerance.
 	Expect any `yaml:"expect"`
 }
 
@@ -24,7 +24,7 @@
 	Cases []Case `yaml:"cases"`
 }
 
-// ErrCase means that a case can't be run.
+// ErrCase is returned for a case that can't be run.
 type ErrCase struct {
 	Name   string
 	Reason string
@@ -33,13 +33,13 @@
 // Error implements error.
 func (e *ErrCase) Error() string { return fmt.Sprintf("case %q: %s", e.Name, e.Reason) }
 
-// ErrCasesFailed means that cases gave other results than expected.
+// ErrCasesFailed reports how many cases did not give the expected result.
 type ErrCasesFailed struct{ Count int }
 
 // Error implements error.
 func (e *ErrCasesFailed) Error() string { return fmt.Sprintf("%d cases failed", e.Count) }
 
-// DecodeCases reads a file of cases; unknown fields are refused.
+// DecodeCases decodes a YAML file of cases; unknown fields are errors. The path is used in errors only.
 func DecodeCases(path string, content []byte) ([]Case, error) {
 	var decoded caseFile
 	if err := yaml.NewDecoder(bytes.NewReader(content), yaml.DisallowUnknownField()).Decode(&decoded); err != nil {
@@ -55,9 +55,10 @@
 	Err  error
 }
 
+// tolerance is the absolute difference up to which numbers count as equal.
 const tolerance = 1e-6
 
-// Passed reports whether the result is the expected one.
+// Passed reports whether the hook gave the expected result without an error.
 func (r CaseResult) Passed() bool {
 	if r.Err != nil {
 		return false
@@ -66,12 +67,12 @@
 	if !isNumber {
 		return r.Got == r.Case.Expect
 	}
-	expected, ok := toNumber(r.Case.Expect)
+	expected, ok := toFloat(r.Case.Expect)
 	difference := got - expected
 	return ok && difference <= tolerance && difference >= -tolerance
 }
 
-// String is one line of a report.
+// String returns the result as one line of a report.
 func (r CaseResult) String() string {
 	switch {
 	case r.Err != nil:
@@ -82,13 +83,14 @@
 	return fmt.Sprintf("FAIL %s: got %v, expected %v", r.Case.Name, r.Got, r.Case.Expect)
 }
 
-// RunCases evaluates cases on policies by name.
+// RunCases evaluates cases with the policies that they name. It fails if a case can't be run; a hook that fails is in its
+// CaseResult.
 func RunCases(policies map[string]resource.Policy, cases []Case) ([]CaseResult, error) {
 	var results []CaseResult
 	for _, item := range cases {
 		source, known := policies[item.Policy]
 		if !known {
-			return nil, &ErrCase{Name: item.Name, Reason: fmt.Sprintf("there is no policy %q in the file", item.Policy)}
+			return nil, &ErrCase{Name: item.Name, Reason: fmt.Sprintf("no policy %q in the file", item.Policy)}
 		}
 		compiled, err := Compile(source)
 		if err != nil {
@@ -118,10 +120,10 @@
 	case "patience":
 		return p.Patience(input)
 	}
-	return nil, &ErrCase{Name: name, Reason: "the hook is not one of filter, score, rank, admit, patience"}
+	return nil, &ErrCase{Name: name, Reason: "unknown hook; use filter, score, rank, admit or patience"}
 }
 
-func toNumber(value any) (float64, bool) {
+func toFloat(value any) (float64, bool) {
 	switch number := value.(type) {
 	case float64:
 		return number, true
@@ -141,7 +143,7 @@
 	for name, value := range item.Inputs {
 		target, known := fields[name]
 		if !known {
-			return nil, &ErrCase{Name: item.Name, Reason: fmt.Sprintf("there is no input %q", name)}
+			return nil, &ErrCase{Name: item.Name, Reason: fmt.Sprintf("unknown input %q", name)}
 		}
 		if !assign(target, value) {
 			return nil, &ErrCase{Name: item.Name, Reason: fmt.Sprintf("input %q has the wrong type", name)}
@@ -153,7 +155,7 @@
 func assign(target, value any) bool {
 	switch field := target.(type) {
 	case *float64:
-		number, ok := toNumber(value)
+		number, ok := toFloat(value)
 		*field = number
 		return ok
 	case *bool:
--- a/internal/policy/cases_test.go
+++ b/internal/policy/cases_test.go
@@ -6,7 +6,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// FuzzCases: any file of cases is refused with a reason or gives one result for each case.
+// FuzzCases checks that any file of cases gives an error or one result for each case.
 func FuzzCases(f *testing.F) {
 	f.Add([]byte("cases:\n- {name: a, policy: p, hook: score, inputs: {engine.load: 0.5}, expect: -0.5}\n"))
 	f.Add([]byte("cases:\n- {name: a, policy: p, hook: filter, inputs: {engine.name: x, engine.warm: true}, expect: true}\n"))
@@ -21,11 +21,11 @@
 		}
 		results, err := RunCases(policies, cases)
 		if err == nil && len(results) != len(cases) {
-			t.Fatalf("%d results of %d cases", len(results), len(cases))
+			t.Fatalf("%d results for %d cases", len(results), len(cases))
 		}
 		for _, result := range results {
 			if result.Err != nil && result.Passed() {
-				t.Fatalf("passed with a failure: %s", result)
+				t.Fatalf("passed despite an error: %s", result)
 			}
 		}
 	})
--- a/internal/policy/input.go
+++ b/internal/policy/input.go
@@ -6,7 +6,7 @@
 	"cel.dev/cel-go/interpreter"
 )
 
-// Input is what a policy sees. All numbers are doubles, so that policies need no conversions.
+// Input holds the variables of policy expressions. All numbers are doubles, so that expressions need no conversions.
 type Input struct {
 	CallPromptTokens  float64
 	CallMaxTokens     float64
@@ -37,23 +37,23 @@
 	EngineWaitSeconds      float64
 	EngineSlowness         float64
 	EngineOtherWaitSeconds float64
-	// EngineUnusedSeconds and EngineAffinity make round-robin and consistent hashing expressible.
+	// EngineUnusedSeconds and EngineAffinity allow round-robin and rendezvous hashing as policies.
 	EngineUnusedSeconds float64
 	EngineAffinity      float64
 	EngineWarm          bool
 	EngineLocal         bool
 }
 
-// variable declares one input.
+// variable declares one variable; those with perEngine exist only in hooks that are evaluated for each engine.
 type variable struct {
-	name      string
-	kind      *cel.Type
-	unit      string
-	meaning   string
-	perEngine bool
+	name        string
+	kind        *cel.Type
+	unit        string
+	description string
+	perEngine   bool
 }
 
-// variables is the documented list of inputs; a test holds it to ResolveName and docs/POLICIES.md.
+// variables lists all variables; a test compares it with ResolveName and docs/POLICIES.md.
 var variables = []variable{
 	{"call.prompt_tokens", cel.DoubleType, "tokens", "estimated length of the prompt", false},
 	{"call.max_tokens", cel.DoubleType, "tokens", "the most that may be generated", false},
@@ -100,8 +100,7 @@
 // Parent implements interpreter.Activation.
 func (i *Input) Parent() interpreter.Activation { return nil }
 
-// ResolveName implements interpreter.Activation without a map, for it runs several times for each
-// candidate of each call.
+// ResolveName implements interpreter.Activation. It uses no map, since it runs several times for each candidate of each call.
 func (i *Input) ResolveName(name string) (any, bool) {
 	if value, ok := i.number(name); ok {
 		return types.Double(value), true
@@ -193,7 +192,7 @@
 	return "", false
 }
 
-// fields maps each documented name to its place; tests and test cases fill inputs through it.
+// fields maps the name of each variable to a pointer to its field, for policy cases and tests.
 func (i *Input) fields() map[string]any {
 	return map[string]any{
 		"engine.load":               &i.EngineLoad,
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy compiles and evaluates the operators' CEL programs: filter, score, patience, rank and admit.
-// docs/POLICIES.md documents the inputs.
+// Package policy compiles and evaluates scheduling policies, which are CEL expressions for the hooks filter, score, patience,
+// rank and admit. docs/POLICIES.md documents the inputs.
 package policy
 
 import (
@@ -16,29 +16,30 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// The built-in programs; an empty hook of a Policy means these.
+// The expressions of hooks that a resource.Policy leaves empty.
 const (
 	DefaultFilter = `true`
 	DefaultScore  = `(engine.warm ? 2.0 : 0.0) + (engine.local ? 0.05 : 0.0) - engine.load - (engine.slowness > 2.0 ? 4.0 : 0.0)`
 	DefaultRank   = `call.waited_seconds`
 	DefaultAdmit  = `true`
-	// DefaultPatience keeps a call at its warm engine unless that one is slow, or another line is
-	// shorter by 3 s.
+	// DefaultPatience lets a call queue at its warm engine unless that one is slow, or the expected wait elsewhere is
+	// shorter by more than 3 s.
 	DefaultPatience = `engine.warm && engine.slowness < 2.0 ? 3.0 + engine.other_wait_seconds : 0.0`
 )
 
 const (
-	// maxStaticCost bounds a program when it is published, in CEL's cost units.
+	// maxStaticCost bounds the estimated cost of an expression at compilation, in CEL's cost units.
 	maxStaticCost = 500
-	// maxRuntimeCost stops an evaluation that costs more all the same.
+	// maxRuntimeCost aborts an evaluation whose cost exceeds the estimate.
 	maxRuntimeCost = 1000
-	// cheapCost is a static bound so low that counting at run time would cost more than the program.
-	cheapCost = 50
-	// maxTextBytes bounds string inputs for the static estimate.
-	maxTextBytes = 256
+	// unmeteredCost is the estimate up to which the cost is not counted at run time, since counting would cost more than
+	// the evaluation.
+	unmeteredCost = 50
+	// maxStringBytes is the assumed size of string inputs in the estimate.
+	maxStringBytes = 256
 )
 
-// ErrInvalid means that a policy can't be published.
+// ErrInvalid is returned for a policy that does not compile, has the wrong type or is too costly.
 type ErrInvalid struct {
 	Hook   string
 	Reason string
@@ -47,7 +48,7 @@
 // Error implements error.
 func (e *ErrInvalid) Error() string { return fmt.Sprintf("%s: %s", e.Hook, e.Reason) }
 
-// ErrEvaluation means that a policy failed at run time.
+// ErrEvaluation is returned if the evaluation of a hook fails or gives an unusable result.
 type ErrEvaluation struct {
 	Hook   string
 	Reason string
@@ -65,21 +66,21 @@
 	rank     cel.Program
 	admit    cel.Program
 	patience cel.Program
-	// openFilter tells that the filter lets everything pass, so that it need not run.
-	openFilter bool
+	// passAll is set if the filter is the default, which need not be evaluated.
+	passAll bool
 }
 
 type hook struct {
-	name      string
-	text      string
-	fallback  string
-	result    *cel.Type
-	perEngine bool
+	name       string
+	expression string
+	fallback   string
+	resultType *cel.Type
+	perEngine  bool
 }
 
-// Compile checks types and bounds the cost of each hook.
+// Compile compiles the hooks, and checks their types and costs. Errors of the source are of type *ErrInvalid.
 func Compile(source resource.Policy) (*Policy, error) {
-	policy := &Policy{openFilter: source.Filter == "" || source.Filter == DefaultFilter}
+	policy := &Policy{passAll: source.Filter == "" || source.Filter == DefaultFilter}
 	hooks := []struct {
 		hook
 		target *cel.Program
@@ -101,30 +102,30 @@
 }
 
 func compileHook(item hook) (cel.Program, error) {
-	text := item.text
-	if text == "" {
-		text = item.fallback
+	expression := item.expression
+	if expression == "" {
+		expression = item.fallback
 	}
 	environment, err := cel.NewEnv(declarations(item.perEngine)...)
 	if err != nil {
-		return nil, errors.Wrap(err, "building the CEL environment")
+		return nil, errors.Wrap(err, "creating the CEL environment")
 	}
-	compiled, issues := environment.Compile(text)
+	compiled, issues := environment.Compile(expression)
 	if issues.Err() != nil {
 		return nil, &ErrInvalid{Hook: item.name, Reason: issues.Err().Error()}
 	}
-	if !compiled.OutputType().IsExactType(item.result) {
-		return nil, &ErrInvalid{Hook: item.name, Reason: fmt.Sprintf("gives %s, not %s", compiled.OutputType(), item.result)}
+	if !compiled.OutputType().IsExactType(item.resultType) {
+		return nil, &ErrInvalid{Hook: item.name, Reason: fmt.Sprintf("has type %s, not %s", compiled.OutputType(), item.resultType)}
 	}
-	estimate, err := environment.EstimateCost(compiled, sizes{})
+	estimate, err := environment.EstimateCost(compiled, sizeEstimator{})
 	if err != nil {
 		return nil, &ErrInvalid{Hook: item.name, Reason: err.Error()}
 	}
 	if estimate.Max > maxStaticCost {
-		return nil, &ErrInvalid{Hook: item.name, Reason: fmt.Sprintf("may cost %d units; the most is %d", estimate.Max, maxStaticCost)}
+		return nil, &ErrInvalid{Hook: item.name, Reason: fmt.Sprintf("may cost %d units; the limit is %d", estimate.Max, maxStaticCost)}
 	}
 	options := []cel.ProgramOption{cel.EvalOptions(cel.OptOptimize)}
-	if estimate.Max > cheapCost {
+	if estimate.Max > unmeteredCost {
 		options = append(options, cel.CostLimit(maxRuntimeCost))
 	}
 	program, err := environment.Program(compiled, options...)
@@ -134,38 +135,37 @@
 	return program, nil
 }
 
-// sizes bounds the string inputs for the static cost estimate.
-type sizes struct{}
+// sizeEstimator implements cost.Estimator with maxStringBytes for every input.
+type sizeEstimator struct{}
 
 // EstimateSize implements cost.Estimator.
-func (sizes) EstimateSize(cost.AstNode) *cost.SizeEstimate {
-	return &cost.SizeEstimate{Min: 0, Max: maxTextBytes}
+func (sizeEstimator) EstimateSize(cost.AstNode) *cost.SizeEstimate {
+	return &cost.SizeEstimate{Min: 0, Max: maxStringBytes}
 }
 
 // EstimateCallCost implements cost.Estimator.
-func (sizes) EstimateCallCost(string, string, *cost.AstNode, []cost.AstNode) *cost.CallEstimate {
+func (sizeEstimator) EstimateCallCost(string, string, *cost.AstNode, []cost.AstNode) *cost.CallEstimate {
 	return nil
 }
 
-// Filter reports whether the engine may serve the call. A failing policy is never open.
+// Filter reports whether the engine may serve the call; false if the evaluation fails.
 func (p *Policy) Filter(input *Input) (bool, error) {
-	if p.openFilter {
+	if p.passAll {
 		return true, nil
 	}
 	return evaluateBool("filter", p.filter, input)
 }
 
-// Admit reports whether the call may be served at all.
+// Admit reports whether the call may be placed at all.
 func (p *Policy) Admit(input *Input) (bool, error) { return evaluateBool("admit", p.admit, input) }
 
-// Score ranks engines for a call; higher is better.
+// Score returns the engine's score for the call; the engine with the highest is tried first.
 func (p *Policy) Score(input *Input) (float64, error) { return evaluateDouble("score", p.score, input) }
 
-// Rank orders the calls that wait for an engine; higher goes first.
+// Rank returns the call's rank in the queues of engines; the highest runs first.
 func (p *Policy) Rank(input *Input) (float64, error) { return evaluateDouble("rank", p.rank, input) }
 
-// Patience is how many seconds a call rather waits for an engine than goes to the next; never
-// below 0.
+// Patience returns for how many seconds the call may queue at the engine before the next one is tried; never below 0.
 func (p *Policy) Patience(input *Input) (float64, error) {
 	seconds, err := evaluateDouble("patience", p.patience, input)
 	return max(0, seconds), err
@@ -205,7 +205,7 @@
 
 var _ interpreter.Activation = (*Input)(nil)
 
-// boolValue avoids an allocation for each boolean input.
+// boolValue converts without an allocation.
 func boolValue(value bool) any {
 	if value {
 		return types.True
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,7 +11,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// TestVariablesAreDocumentedAndResolved holds the list of inputs to the code and to the page.
+// TestVariablesAreDocumentedAndResolved compares variables with ResolveName, fields and docs/POLICIES.md.
 func TestVariablesAreDocumentedAndResolved(t *testing.T) {
 	page, err := os.ReadFile("../../docs/POLICIES.md")
 	assert.NilError(t, err)
@@ -23,32 +23,32 @@
 		assert.Assert(t, resolved, item.name)
 		_, settable := fields[item.name]
 		assert.Assert(t, settable, item.name)
-		where := "all"
+		hooks := "all"
 		if item.perEngine {
-			where = "filter, score, patience"
+			hooks = "filter, score, patience"
 		}
 		unit := item.unit
 		if unit != "" {
 			unit += " "
 		}
-		row := fmt.Sprintf("| `%s` | %s | %s| %s | %s |", item.name, item.kind, unit, item.meaning, where)
-		assert.Assert(t, strings.Contains(string(page), row), "docs/POLICIES.md lacks: %s", row)
+		row := fmt.Sprintf("| `%s` | %s | %s| %s | %s |", item.name, item.kind, unit, item.description, hooks)
+		assert.Assert(t, strings.Contains(string(page), row), "missing in docs/POLICIES.md: %s", row)
 	}
-	for _, text := range []string{DefaultAdmit, DefaultFilter, DefaultScore, DefaultRank, DefaultPatience} {
-		assert.Assert(t, strings.Contains(string(page), "`"+text+"`"), text)
+	for _, expression := range []string{DefaultAdmit, DefaultFilter, DefaultScore, DefaultRank, DefaultPatience} {
+		assert.Assert(t, strings.Contains(string(page), "`"+expression+"`"), expression)
 	}
 }
 
-func TestBadPoliciesAreRefused(t *testing.T) {
+func TestInvalidPolicies(t *testing.T) {
 	bad := map[string]resource.Policy{
 		"syntax":            {Score: "engine.load +"},
-		"unknown input":     {Score: "engine.lod"},
+		"unknown variable":  {Score: "engine.lod"},
 		"wrong type":        {Score: "engine.name"},
 		"integer":           {Score: "engine.load * 2"},
 		"engine in rank":    {Rank: "engine.load"},
-		"filter no bool":    {Filter: "1.0"},
-		"too costly":        {Filter: strings.Repeat("engine.name.contains(call.service + call.model) && ", 60) + "true"},
-		"admit sees engine": {Admit: "engine.warm"},
+		"filter is no bool": {Filter: "1.0"},
+		"cost":              {Filter: strings.Repeat("engine.name.contains(call.service + call.model) && ", 60) + "true"},
+		"engine in admit":   {Admit: "engine.warm"},
 	}
 	for name, source := range bad {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestFailingPolicyNeverOpens(t *testing.T) {
+func TestFailingFilterExcludes(t *testing.T) {
 	rules, err := Compile(resource.Policy{Score: "1.0 / engine.load", Filter: `int(engine.name) > 0`})
 	assert.NilError(t, err)
 	_, err = rules.Score(&Input{})
@@ -105,7 +105,7 @@
 	}
 }
 
-// BenchmarkDecision filters and scores 64 candidates with the built-in policy; the aim is 50 us.
+// BenchmarkDecision filters and scores 64 candidates with the built-in policy.
 func BenchmarkDecision(b *testing.B) {
 	rules, err := Compile(resource.Policy{})
 	assert.NilError(b, err)
