--- a/internal/program/calls.go
+++ b/internal/program/calls.go
@@ -10,11 +10,10 @@
 	return Result{Error: apierr.New(code, apierr.NotRun, format, args...)}
 }
 
-// admit books a call. Either everything is reserved, on the program and all its ancestors, or
-// nothing changes.
+// admit adds a call. Either its budget is reserved on the program and all its ancestors, or nothing changes.
 func (m *Machine) admit(request Admit) Result {
 	if request.CallID == "" || request.Program.Path == "" || request.Reserve < 0 {
-		return refuse(apierr.InvalidRequest, "an admission needs a call, a program, and a reservation of 0 or more")
+		return refuse(apierr.InvalidRequest, "an admission needs a call, a program and a non-negative reservation")
 	}
 	known := m.programs[request.Program]
 	if known != nil {
@@ -25,19 +24,19 @@
 	if refusal := m.checkAdmission(known, request); refusal != nil {
 		return *refusal
 	}
-	chain := m.ensurePrograms(request)
-	if refusal := checkBudgets(chain, request); refusal != nil {
-		m.dropUnused(chain)
+	lineage := m.ensurePrograms(request)
+	if refusal := checkBudgets(lineage, request); refusal != nil {
+		m.removeUnused(lineage)
 		return *refusal
 	}
-	for _, program := range chain {
+	for _, program := range lineage {
 		program.Reserved += request.Reserve
 		program.Calls++
 		program.ActiveAt = m.now
 	}
-	own := chain[0]
-	if own.Opening.Hash == "" && own.Mark.Count == 0 && len(request.Messages) > 0 {
-		own.Opening = openingOf(request.Messages[0])
+	own := lineage[0]
+	if own.FirstMessage.Hash == "" && own.Mark.Count == 0 && len(request.Messages) > 0 {
+		own.FirstMessage = firstMessageOf(request.Messages[0])
 	}
 	sequence := own.NextSequence
 	if request.Sequence != 0 {
@@ -61,40 +60,39 @@
 		AdmittedAt:     m.now,
 	}
 	own.Open[call.ID] = call
-	m.changed(own.Key)
-	return Result{Call: call.public()}
+	m.notify(own.Key)
+	return Result{Call: call.withoutMessages()}
 }
 
-// findExisting finds the call itself, or an earlier one with the same idempotency key.
+// findExisting returns the result for a call that was admitted before, or for an earlier call with the same idempotency key.
 func (p *Program) findExisting(request Admit) (Result, bool) {
 	if call := p.Open[request.CallID]; call != nil {
-		return Result{Call: call.public(), Existing: true}, true
+		return Result{Call: call.withoutMessages(), Existing: true}, true
 	}
 	if request.IdempotencyKey == "" {
 		return Result{}, false
 	}
 	for _, call := range p.Open {
-		if call.IdempotencyKey != request.IdempotencyKey || call.neverRun() {
+		if call.IdempotencyKey != request.IdempotencyKey || call.failedNotRun() {
 			continue
 		}
 		if call.BodyHash != request.BodyHash {
-			return refuse(apierr.IdempotencyConflict, "the idempotency key was used with another request body"), true
+			return refuse(apierr.IdempotencyConflict, "the idempotency key was used with a different request body"), true
 		}
-		return Result{Call: call.public(), Existing: true}, true
+		return Result{Call: call.withoutMessages(), Existing: true}, true
 	}
 	return Result{}, false
 }
 
-// neverRun reports that a call was refused for good before anything was sent: its caller may ask
-// again with the same key.
-func (c *Call) neverRun() bool {
+// failedNotRun reports whether a call failed without having been run, so that its idempotency key may be used again.
+func (c *Call) failedNotRun() bool {
 	return c.State == Failed && c.Error != nil && c.Error.Outcome == apierr.NotRun
 }
 
-// reopenable reports whether a place in the order can be taken again: its call was never sent, and
-// neither was any after it.
-func (p *Program) reopenable(sequence uint64) bool {
-	if sequence <= p.Reached {
+// sequenceReusable reports whether a sequence number can be assigned again: its call has ended, and neither it nor any later call
+// was sent.
+func (p *Program) sequenceReusable(sequence uint64) bool {
+	if sequence <= p.LastDispatched {
 		return false
 	}
 	for _, call := range p.Open {
@@ -105,6 +103,8 @@
 	return true
 }
 
+// checkAdmission returns a refusal if the program has ended, or the call does not follow the program's calls or history. The
+// history is compared here only if no call is open; dispatch compares it again.
 func (m *Machine) checkAdmission(known *Program, request Admit) *Result {
 	for _, program := range m.ancestors(request.Program) {
 		if program.Ended() {
@@ -117,14 +117,14 @@
 	idle := true
 	if known != nil {
 		next, mark = known.NextSequence, known.Mark
-		idle = !known.busy()
+		idle = !known.hasOpenCalls()
 	}
 	switch {
 	case request.Sequence > next:
-		refusal := refuse(apierr.SequenceGap, "call %d came before call %d", request.Sequence, next)
+		refusal := refuse(apierr.SequenceGap, "call %d was requested before call %d", request.Sequence, next)
 		return &refusal
-	case request.Sequence != 0 && request.Sequence < next && !known.reopenable(request.Sequence):
-		refusal := refuse(apierr.SequencePassed, "call %d was admitted before; the next is %d", request.Sequence, next)
+	case request.Sequence != 0 && request.Sequence < next && !known.sequenceReusable(request.Sequence):
+		refusal := refuse(apierr.SequencePassed, "call %d was already admitted; the next is %d", request.Sequence, next)
 		return &refusal
 	case request.CheckBase && idle && request.Base != mark:
 		refusal := refuse(apierr.HistoryConflict, "the messages do not continue the program's history of %d messages", mark.Count)
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// busy reports whether a call is under way.
-func (p *Program) busy() bool {
+// hasOpenCalls reports whether a call has not ended.
+func (p *Program) hasOpenCalls() bool {
 	for _, call := range p.Open {
 		if !call.Ended() {
 			return true
@@ -144,8 +144,7 @@
 	return false
 }
 
-// ensurePrograms creates the program and its ancestors where they do not exist; it returns them,
-// the program itself first.
+// ensurePrograms creates the program and its ancestors as far as they do not exist, and returns them, the program first.
 func (m *Machine) ensurePrograms(request Admit) []*Program {
 	parts := strings.Split(request.Program.Path, "/")
 	for depth := range parts {
@@ -170,68 +169,69 @@
 	return m.ancestors(request.Program)
 }
 
-func checkBudgets(chain []*Program, request Admit) *Result {
-	for _, program := range chain {
+// checkBudgets returns a refusal if the call exceeds the budget of the program or of an ancestor.
+func checkBudgets(lineage []*Program, request Admit) *Result {
+	for _, program := range lineage {
 		if program.Used+program.Reserved+request.Reserve > program.Limits.TokenBudget {
 			refusal := refuse(apierr.BudgetExceeded, "the call may cost %d tokens; program %s has %d of %d left",
 				request.Reserve, program.Key.Path, program.Limits.TokenBudget-program.Used-program.Reserved, program.Limits.TokenBudget)
 			return &refusal
 		}
 		if program.Calls+1 > program.Limits.CallBudget {
-			refusal := refuse(apierr.BudgetExceeded, "program %s has made all its %d calls", program.Key.Path, program.Limits.CallBudget)
+			refusal := refuse(apierr.BudgetExceeded, "program %s has used its budget of %d calls", program.Key.Path, program.Limits.CallBudget)
 			return &refusal
 		}
 	}
 	return nil
 }
 
-// dropUnused removes programs that were created for a call that was then refused.
-func (m *Machine) dropUnused(chain []*Program) {
-	for _, program := range chain {
+// removeUnused removes programs without calls, which were created for a call that was then refused.
+func (m *Machine) removeUnused(lineage []*Program) {
+	for _, program := range lineage {
 		if program.Calls == 0 {
 			delete(m.programs, program.Key)
 		}
 	}
 }
 
-// find returns a call that is under way, or a Result that tells why there is none.
-func (m *Machine) find(key Key, callID string) (*Program, *Call, *Result) {
+// findCall returns a call that is retained, ended or not, and its program; or a Result with NotFound.
+func (m *Machine) findCall(key Key, callID string) (*Program, *Call, *Result) {
 	program := m.programs[key]
 	if program == nil || program.Open[callID] == nil {
-		refusal := refuse(apierr.NotFound, "there is no call %s of program %s", callID, key.Path)
+		refusal := refuse(apierr.NotFound, "no call %s in program %s", callID, key.Path)
 		return nil, nil, &refusal
 	}
 	return program, program.Open[callID], nil
 }
 
-// dispatch fixes the engine of an attempt. Invariants: attempts are numbered without gaps; a
-// non-repeatable call has one; the calls before it in the chain have ended.
+// dispatch records the engine of an attempt. Invariants: attempts are numbered without gaps; a non-repeatable call has one, unless
+// it was not delivered; all calls of the program with lower sequence numbers have ended.
 func (m *Machine) dispatch(request Dispatch) Result {
-	program, call, refusal := m.find(request.Program, request.CallID)
+	program, call, refusal := m.findCall(request.Program, request.CallID)
 	if refusal != nil {
 		return *refusal
 	}
 	if call.State == Dispatching && call.Attempt == request.Attempt && call.Execution == request.Execution && call.Gateway == request.Gateway && call.Engine == request.Engine {
-		return Result{Call: call.public(), Existing: true, Mark: program.Mark}
+		return Result{Call: call.withoutMessages(), Existing: true, Mark: program.Mark}
 	}
 	if call.Ended() {
-		return Result{Call: call.public(), Error: call.Error}
+		return Result{Call: call.withoutMessages(), Error: call.Error}
 	}
 	switch {
 	case call.State != Admitted || request.Attempt != call.Attempt+1:
-		return Result{Call: call.public(), Error: apierr.New(apierr.Internal, apierr.NotRun, "attempt %d does not follow attempt %d", request.Attempt, call.Attempt)}
+		return Result{Call: call.withoutMessages(), Error: apierr.New(apierr.Internal, apierr.NotRun, "attempt %d does not follow attempt %d", request.Attempt, call.Attempt)}
 	case program.Ended():
 		return refuse(apierr.ProgramEnded, "program %s has ended: %s", program.Key.Path, program.EndReason)
-	case program.earlierOpen(call.Sequence):
-		return refuse(apierr.SequenceGap, "an earlier call of the program is under way")
+	case program.hasOpenBefore(call.Sequence):
+		return refuse(apierr.SequenceGap, "an earlier call of the program has not ended")
 	case call.CheckBase && call.Base != program.Mark:
 		result := refuse(apierr.HistoryConflict, "the messages do not continue the program's history of %d messages", program.Mark.Count)
 		result.Mark = program.Mark
 		return result
 	}
-	if program.Reached < call.Sequence {
-		call.ReachedBefore = program.Reached
-		program.Reached = call.Sequence
+	if program.LastDispatched < call.Sequence {
+		call.LastDispatchedBefore = program.LastDispatched
+		program.LastDispatched = call.Sequence
 	}
 	call.State = Dispatching
 	call.Attempt = request.Attempt
@@ -242,12 +242,12 @@
 	if request.CacheService != "" {
 		program.Caches[request.Engine] = request.CacheService
 	}
-	m.changed(program.Key)
-	return Result{Call: call.public(), Mark: program.Mark}
+	m.notify(program.Key)
+	return Result{Call: call.withoutMessages(), Mark: program.Mark}
 }
 
-// earlierOpen reports whether a call before the given place has not ended.
-func (p *Program) earlierOpen(sequence uint64) bool {
+// hasOpenBefore reports whether a call with a lower sequence number has not ended.
+func (p *Program) hasOpenBefore(sequence uint64) bool {
 	for _, call := range p.Open {
 		if call.Sequence < sequence && !call.Ended() {
 			return true
@@ -256,40 +256,41 @@
 	return false
 }
 
-// lose takes an attempt back. Only a repeatable call, or one that was never sent, may go again.
-func (m *Machine) lose(request LoseAttempt) Result {
-	program, call, refusal := m.find(request.Program, request.CallID)
+// loseAttempt ends an attempt without an answer. The call may be dispatched again if it is repeatable or was not delivered;
+// else it fails.
+func (m *Machine) loseAttempt(request LoseAttempt) Result {
+	program, call, refusal := m.findCall(request.Program, request.CallID)
 	if refusal != nil {
 		return *refusal
 	}
 	if call.State != Dispatching || call.Attempt != request.Attempt {
-		return Result{Call: call.public(), Error: call.Error}
+		return Result{Call: call.withoutMessages(), Error: call.Error}
 	}
 	call.Spent = max(call.Spent, request.Spent)
 	if call.Repeatable || request.Undelivered {
 		call.State = Admitted
 		call.MayHaveRun = call.MayHaveRun || !request.Undelivered
 		if !call.MayHaveRun {
-			// No call after this one was dispatched while it was open.
-			program.Reached = call.ReachedBefore
+			// No later call was dispatched, since this one has not ended.
+			program.LastDispatched = call.LastDispatchedBefore
 		}
-		m.changed(program.Key)
-		return Result{Call: call.public()}
+		m.notify(program.Key)
+		return Result{Call: call.withoutMessages()}
 	}
 	lost := apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "the connection to the back end was lost; the request is not repeatable and may have been executed")
 	m.settle(program, call, call.Reserved)
-	m.finish(program, call, Failed, nil, lost)
-	return Result{Call: call.public(), Error: lost}
+	m.finishCall(program, call, Failed, nil, lost)
+	return Result{Call: call.withoutMessages(), Error: lost}
 }
 
-// complete stores the answer and lets the history grow.
+// complete stores the answer, and appends the call's messages and the answer's to the history.
 func (m *Machine) complete(request Complete) Result {
-	program, call, refusal := m.find(request.Program, request.CallID)
+	program, call, refusal := m.findCall(request.Program, request.CallID)
 	if refusal != nil {
 		return *refusal
 	}
 	if call.State != Dispatching || call.Attempt != request.Attempt {
-		return Result{Call: call.public(), Existing: true, Error: call.Error}
+		return Result{Call: call.withoutMessages(), Existing: true, Error: call.Error}
 	}
 	m.settle(program, call, request.Answer.Usage.Total())
 	if len(request.Answer.Message) > 0 {
@@ -299,41 +300,41 @@
 	}
 	answer := request.Answer
 	program.LastTokens = answer.Usage.Total()
-	m.finish(program, call, Completed, &answer, nil)
-	return Result{Call: call.public(), Mark: program.Mark}
+	m.finishCall(program, call, Completed, &answer, nil)
+	return Result{Call: call.withoutMessages(), Mark: program.Mark}
 }
 
-// failCall ends a call. For a call that is only admitted this forbids every later dispatch, so
-// that its outcome is NotRun for certain.
+// failCall ends a call without an answer. An admitted call can't be dispatched afterwards, so that NotRun is certain if no earlier
+// attempt may have run.
 func (m *Machine) failCall(request Fail) Result {
-	program, call, refusal := m.find(request.Program, request.CallID)
+	program, call, refusal := m.findCall(request.Program, request.CallID)
 	if refusal != nil {
 		return *refusal
 	}
 	switch {
 	case call.Ended():
-		return Result{Call: call.public(), Existing: true, Error: call.Error}
+		return Result{Call: call.withoutMessages(), Existing: true, Error: call.Error}
 	case request.Error == nil:
-		return refuse(apierr.InvalidRequest, "a failure needs an error")
+		return refuse(apierr.InvalidRequest, "a Fail command needs an error")
 	case call.State == Admitted && request.Attempt == 0:
 		m.settle(program, call, call.Spent)
 		failure := *request.Error
 		failure.Outcome = admittedOutcome(call)
-		m.finish(program, call, Failed, nil, &failure)
+		m.finishCall(program, call, Failed, nil, &failure)
 	case call.State == Dispatching && call.Attempt == request.Attempt:
 		cost := call.Reserved
 		if request.Usage != nil {
 			cost = request.Usage.Total()
 		}
 		m.settle(program, call, cost)
-		m.finish(program, call, Failed, nil, request.Error)
+		m.finishCall(program, call, Failed, nil, request.Error)
 	default:
-		return Result{Call: call.public(), Error: apierr.New(apierr.Internal, apierr.OutcomeUnknown, "attempt %d of call %s is under way", call.Attempt, call.ID)}
+		return Result{Call: call.withoutMessages(), Error: apierr.New(apierr.Internal, apierr.OutcomeUnknown, "attempt %d of call %s is in progress", call.Attempt, call.ID)}
 	}
-	return Result{Call: call.public(), Error: call.Error}
+	return Result{Call: call.withoutMessages(), Error: call.Error}
 }
 
-// admittedOutcome is NotRun unless an earlier attempt may have been executed.
+// admittedOutcome returns the outcome of an admitted call that fails: NotRun unless an earlier attempt may have run.
 func admittedOutcome(call *Call) apierr.Outcome {
 	if call.MayHaveRun {
 		return apierr.OutcomeUnknown
@@ -341,8 +342,8 @@
 	return apierr.NotRun
 }
 
-// settle replaces a call's reservation by its cost, on the program and its ancestors. More than
-// the reservation is never charged: the engine was told the most that it may generate.
+// settle replaces a call's reservation by its cost, on the program and its ancestors. No more than the reservation is charged,
+// since it is the limit that was given to the engine.
 func (m *Machine) settle(program *Program, call *Call, cost int64) {
 	cost = min(max(0, cost), call.Reserved)
 	for _, ancestor := range m.ancestors(program.Key) {
@@ -352,7 +353,8 @@
 	call.Reserved = 0
 }
 
-func (m *Machine) finish(program *Program, call *Call, state CallState, answer *Answer, failure *apierr.Error) {
+// finishCall sets the final state of a call and drops its messages, which complete has added to the history before.
+func (m *Machine) finishCall(program *Program, call *Call, state CallState, answer *Answer, failure *apierr.Error) {
 	call.State = state
 	call.Answer = answer
 	call.Error = failure
@@ -361,12 +363,11 @@
 	for _, ancestor := range m.ancestors(program.Key) {
 		ancestor.ActiveAt = m.now
 	}
-	// Without a key nobody can ask for the answer again, except a retry of the same proposal.
-	m.changed(program.Key)
+	m.notify(program.Key)
 }
 
-// public returns a copy without the messages.
-func (c *Call) public() *Call {
+// withoutMessages returns a copy of the call without its messages.
+func (c *Call) withoutMessages() *Call {
 	copied := *c
 	copied.Messages = nil
 	return &copied
--- a/internal/program/store.go
+++ b/internal/program/chunks.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 )
 
-// chunkBytes is how much of a history's end stays uncompressed; what is older is kept in compressed
-// chunks, for it is read only when a caller sends new messages alone.
-const chunkBytes = 16 << 10
+// maxTailBytes is the size from which a history's uncompressed tail is compressed to a chunk. Old messages are read only if a
+// caller sends new messages alone.
+const maxTailBytes = 16 << 10
 
 // History is a program's messages, the older ones compressed.
 type History struct {
@@ -16,31 +16,30 @@
 	Tail   []Message `json:"tail,omitempty"`
 }
 
-// append adds messages at the end.
+// append adds messages, and compresses the tail if it has grown to maxTailBytes.
 func (h *History) append(messages []Message) {
 	h.Tail = append(h.Tail, messages...)
 	size := 0
 	for _, message := range h.Tail {
 		size += len(message)
 	}
-	if size < chunkBytes {
+	if size < maxTailBytes {
 		return
 	}
 	encoded, err := json.Marshal(h.Tail)
 	if err != nil {
-		// Messages are valid JSON; if one is not, it stays uncompressed.
+		// Messages that are no valid JSON stay uncompressed.
 		return
 	}
-	// The encoder's result has room for the uncompressed size; a copy does not keep it.
-	h.Chunks = append(h.Chunks, bytes.Clone(snapshotEncoder.EncodeAll(encoded, nil)))
+	// The encoder's buffer has the capacity of the uncompressed size; the clone does not retain it.
+	h.Chunks = append(h.Chunks, bytes.Clone(zstdEncoder.EncodeAll(encoded, nil)))
 	h.Tail = nil
 }
 
-// readable reports whether messages can be called. A history that came from elsewhere is checked
-// once, when it comes.
-func (h *History) readable() bool {
+// valid reports whether all chunks can be decoded, so that messages does not panic. Restore checks it for snapshots.
+func (h *History) valid() bool {
 	for _, chunk := range h.Chunks {
-		encoded, err := snapshotDecoder.DecodeAll(chunk, nil)
+		encoded, err := zstdDecoder.DecodeAll(chunk, nil)
 		var part []Message
 		if err != nil || json.Unmarshal(encoded, &part) != nil {
 			return false
@@ -54,11 +53,10 @@
 	var all []Message
 	for _, chunk := range h.Chunks {
 		var part []Message
-		encoded, err := snapshotDecoder.DecodeAll(chunk, nil)
+		encoded, err := zstdDecoder.DecodeAll(chunk, nil)
 		if err != nil || json.Unmarshal(encoded, &part) != nil {
-			// A chunk was made by append, or checked by Restore; a damaged one must not pass for a
-			// shorter history.
-			panic("program: a chunk of history can't be read")
+			// Chunks come from append or were checked by Restore. A corrupt one must not shorten the history silently.
+			panic("program: corrupt history chunk")
 		}
 		all = append(all, part...)
 	}
--- a/internal/program/history.go
+++ b/internal/program/history.go
@@ -8,28 +8,28 @@
 	"strings"
 )
 
-// HistoryMark identifies a prefix of a history: how many messages, and the hash chain over them.
+// HistoryMark identifies a prefix of a history by its number of messages and a hash chain over them.
 type HistoryMark struct {
 	Count int    `json:"count"`
 	Hash  string `json:"hash,omitempty"`
 }
 
-const markBytes = 16
+const markHashBytes = 16
 
-// Extend returns the mark after further messages.
+// Extend returns the mark of the history with messages appended.
 func (m HistoryMark) Extend(messages []Message) HistoryMark {
 	for _, message := range messages {
 		digest := sha256.New()
 		digest.Write([]byte(m.Hash))
 		digest.Write([]byte{0})
 		digest.Write(canonical(message))
-		m = HistoryMark{Count: m.Count + 1, Hash: hex.EncodeToString(digest.Sum(nil)[:markBytes])}
+		m = HistoryMark{Count: m.Count + 1, Hash: hex.EncodeToString(digest.Sum(nil)[:markHashBytes])}
 	}
 	return m
 }
 
-// messageFields are the parts of a chat message that make it the same message. Clients add and
-// drop empty fields when they send an answer back.
+// messageFields are the fields of a chat message that are compared. Clients add and drop other and empty fields when they send
+// an answer back.
 type messageFields struct {
 	Role       string          `json:"role"`
 	Content    json.RawMessage `json:"content,omitempty"`
@@ -43,7 +43,7 @@
 	Text string `json:"text"`
 }
 
-// canonical is a form that is equal for messages of equal meaning.
+// canonical returns an encoding that is equal for equivalent messages.
 func canonical(message Message) []byte {
 	var fields messageFields
 	if json.Unmarshal(message, &fields) != nil {
@@ -58,7 +58,7 @@
 	return encoded
 }
 
-// canonicalContent turns a list of text parts into one string.
+// canonicalContent converts a list of only text parts to the equivalent string.
 func canonicalContent(content json.RawMessage) json.RawMessage {
 	content = compact(content)
 	var parts []textPart
@@ -79,6 +79,7 @@
 	return encoded
 }
 
+// compact removes insignificant space; null and the empty list become nil.
 func compact(raw json.RawMessage) json.RawMessage {
 	trimmed := bytes.TrimSpace(raw)
 	if len(trimmed) == 0 || bytes.Equal(trimmed, []byte("null")) || bytes.Equal(trimmed, []byte("[]")) {
@@ -91,24 +92,23 @@
 	return buffer.Bytes()
 }
 
-// BytesPerToken estimates lengths for placement; budgets use the strict bound of TokenUpperBound.
+// BytesPerToken is the estimate for placement; budgets use TokenUpperBound.
 const BytesPerToken = 4
 
-func openingOf(message Message) Opening {
-	return Opening{Hash: HistoryMark{}.Extend([]Message{message}).Hash, Tokens: int64(len(message)) / BytesPerToken}
+func firstMessageOf(message Message) FirstMessage {
+	return FirstMessage{Hash: HistoryMark{}.Extend([]Message{message}).Hash, Tokens: int64(len(message)) / BytesPerToken}
 }
 
 const (
-	// tokensPerMessage covers what a chat template puts around each message.
-	tokensPerMessage = 8
+	// templateTokensPerMessage bounds the tokens that a chat template adds to each message.
+	templateTokensPerMessage = 8
 )
 
-// TokenUpperBound is an upper bound of the tokens of messages: byte-level tokenizers make at most one
-// token of each byte.
+// TokenUpperBound returns an upper bound of the messages' tokens: byte-level tokenizers produce at most one token for each byte.
 func TokenUpperBound(messages []Message) int64 {
 	var total int64
 	for _, message := range messages {
-		total += int64(len(message)) + tokensPerMessage
+		total += int64(len(message)) + templateTokensPerMessage
 	}
 	return total
 }
--- a/internal/program/lifecycle.go
+++ b/internal/program/lifecycle.go
@@ -6,7 +6,7 @@
 	"github.com/mountstile/mountstile/internal/apierr"
 )
 
-// Reasons for the end of a program.
+// Values of Program.EndReason.
 const (
 	EndByCaller   = "ended by its caller"
 	EndByOperator = "ended by an operator"
@@ -14,22 +14,22 @@
 	EndAge        = "older than its limit"
 )
 
-// callRetentionWithoutKey covers repeated proposals of the same call after a change of leader.
-const callRetentionWithoutKey = 60 * 1000
+// callRetentionWithoutKeyMillis is how long an ended call without an idempotency key is kept, for proposals that are repeated
+// after a change of leader.
+const callRetentionWithoutKeyMillis = 60 * 1000
 
-// end closes a program and its sub-agents. Calls that were never sent can't be any more; calls
-// under way settle as usual.
+// end ends a program and its sub-agents. Admitted calls fail, and can't be dispatched any more; dispatched calls settle as usual.
 func (m *Machine) end(request End) Result {
 	if m.programs[request.Program] == nil {
-		return refuse(apierr.NotFound, "there is no program %s", request.Program.Path)
+		return refuse(apierr.NotFound, "no program %s", request.Program.Path)
 	}
 	for _, program := range m.descendants(request.Program) {
-		m.endOne(program, request.Reason)
+		m.endProgram(program, request.Reason)
 	}
 	return Result{}
 }
 
-func (m *Machine) endOne(program *Program, reason string) {
+func (m *Machine) endProgram(program *Program, reason string) {
 	if program.Ended() {
 		return
 	}
@@ -40,49 +40,50 @@
 		if call.State == Admitted {
 			m.settle(program, call, call.Spent)
 			ended := apierr.New(apierr.ProgramEnded, admittedOutcome(call), "program %s has ended: %s", program.Key.Path, reason)
-			m.finish(program, call, Failed, nil, ended)
+			m.finishCall(program, call, Failed, nil, ended)
 		}
 	}
-	m.changed(program.Key)
+	m.notify(program.Key)
 }
 
-func (m *Machine) release(request ReleaseCache) Result {
+// releaseCache removes an engine from an ended program's Caches.
+func (m *Machine) releaseCache(request ReleaseCache) Result {
 	program := m.programs[request.Program]
 	if program == nil || !program.Ended() {
-		return refuse(apierr.NotFound, "there is no ended program %s", request.Program.Path)
+		return refuse(apierr.NotFound, "no ended program %s", request.Program.Path)
 	}
 	delete(program.Caches, request.Engine)
 	return Result{}
 }
 
-// expire ends programs over their limits and forgets what nobody can ask for any more.
+// expire ends programs that exceed their limits, and removes calls and programs past their retention.
 func (m *Machine) expire() Result {
 	for _, program := range m.sortedPrograms() {
-		if reason := m.overLimit(program); reason != "" {
-			m.endOne(program, reason)
+		if reason := m.exceededLimit(program); reason != "" {
+			m.endProgram(program, reason)
 		}
-		m.forgetCalls(program)
-		if m.forgettable(program) {
+		m.removeExpiredCalls(program)
+		if m.removable(program) {
 			delete(m.programs, program.Key)
 		}
 	}
 	return Result{}
 }
 
-// overLimit returns why a program must end now, or "".
-func (m *Machine) overLimit(program *Program) string {
+// exceededLimit returns the reason for which a program must end now, or "".
+func (m *Machine) exceededLimit(program *Program) string {
 	switch {
 	case program.Ended():
 		return ""
 	case program.Limits.MaxMillis > 0 && m.now-program.CreatedAt > program.Limits.MaxMillis:
 		return EndAge
-	case program.Limits.IdleMillis > 0 && m.now-program.ActiveAt > program.Limits.IdleMillis && !program.busy():
+	case program.Limits.IdleMillis > 0 && m.now-program.ActiveAt > program.Limits.IdleMillis && !program.hasOpenCalls():
 		return EndIdle
 	}
 	return ""
 }
 
-func (m *Machine) forgetCalls(program *Program) {
+func (m *Machine) removeExpiredCalls(program *Program) {
 	for id, call := range program.Open {
 		if call.Ended() && m.now-call.EndedAt > call.retention() {
 			delete(program.Open, id)
@@ -92,32 +93,32 @@
 
 func (c *Call) retention() int64 {
 	if c.IdempotencyKey != "" {
-		return CallRetention
+		return CallRetentionMillis
 	}
-	return callRetentionWithoutKey
+	return callRetentionWithoutKeyMillis
 }
 
-// forgettable reports that a program has ended, holds no cache anywhere, and is past its retention.
-func (m *Machine) forgettable(program *Program) bool {
-	return program.Ended() && len(program.Caches) == 0 && !program.busy() && m.now-program.EndedAt > program.retention()
+// removable reports whether a program has ended, has no open calls and no engine with its cache, and is past its retention.
+func (m *Machine) removable(program *Program) bool {
+	return program.Ended() && len(program.Caches) == 0 && !program.hasOpenCalls() && m.now-program.EndedAt > program.retention()
 }
 
-// retention is how long an ended program is remembered. Nobody else can name the program of a
-// single call: it goes as soon as the call's answer has.
+// retention returns how long an ended program is kept, in milliseconds. An ephemeral program can't be named by another call, and
+// is removed as soon as its calls are.
 func (p *Program) retention() int64 {
 	if strings.HasPrefix(p.Key.Path, EphemeralPrefix) && len(p.Open) == 0 {
 		return 0
 	}
-	return ProgramRetention
+	return ProgramRetentionMillis
 }
 
-// ExpiryDue reports whether an Expire command at the given time would change anything.
+// ExpiryDue reports whether an Expire command at the given time, in milliseconds since 1970, would change anything.
 func (m *Machine) ExpiryDue(at int64) bool {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	future := &Machine{now: max(m.now, at)}
 	for _, program := range m.programs {
-		if future.overLimit(program) != "" || future.forgettable(program) {
+		if future.exceededLimit(program) != "" || future.removable(program) {
 			return true
 		}
 		for _, call := range program.Open {
@@ -129,7 +130,7 @@
 	return false
 }
 
-// OpenCall names a call and the gateway that executes it.
+// OpenCall describes a call that has not ended, and the gateway that executes it.
 type OpenCall struct {
 	Program    Key
 	CallID     string
@@ -158,20 +159,20 @@
 	return open
 }
 
-// HeldCache names an engine that may hold an ended program's cache.
+// HeldCache identifies an ended program's cache on an engine that may still hold it.
 type HeldCache struct {
 	Program Key
 	Engine  string
 	Service string
 }
 
-// HeldCaches lists the caches of ended programs that no engine has confirmed to be released.
+// HeldCaches lists the caches of ended programs whose release the engine has not confirmed.
 func (m *Machine) HeldCaches() []HeldCache {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	var held []HeldCache
 	for key, program := range m.programs {
-		if !program.Ended() || program.busy() {
+		if !program.Ended() || program.hasOpenCalls() {
 			continue
 		}
 		for engine, service := range program.Caches {
@@ -181,7 +182,7 @@
 	return held
 }
 
-// Summary is a program without its history, for operators.
+// Summary is a program's state for operators and placement, without its history and ended calls.
 type Summary struct {
 	Key          Key    `json:"key"`
 	Used         int64  `json:"used_tokens"`
@@ -194,14 +195,15 @@
 	EndedAt      int64  `json:"ended_at_ms,omitempty"`
 	EndReason    string `json:"end_reason,omitempty"`
 	LastEngine   string `json:"last_engine,omitempty"`
-	// WarmEngine probably holds the first WarmTokens of the next prompt: of the program's latest
-	// call, or of the ancestor that a new program shares its first message with.
+	// WarmEngine is estimated to have the first WarmTokens of the next prompt in its cache: the engine of the program's
+	// latest call or, for a program without calls, that of an ancestor with the same first message. Only Machine.Summary sets
+	// them.
 	WarmEngine string `json:"warm_engine,omitempty"`
 	WarmTokens int64  `json:"warm_tokens,omitempty"`
 	Open       []Call `json:"open_calls,omitempty"`
 }
 
-// Summaries lists the programs of a tenant, or of all tenants if it is empty.
+// Summaries lists the programs of a tenant, or of all tenants if tenant is empty.
 func (m *Machine) Summaries(tenant string) []Summary {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -214,7 +216,7 @@
 	return result
 }
 
-// Summary returns one program.
+// Summary returns the summary of one program, and whether the program exists.
 func (m *Machine) Summary(key Key) (Summary, bool) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -223,18 +225,18 @@
 		return Summary{}, false
 	}
 	summary := program.summary()
-	summary.WarmEngine, summary.WarmTokens = m.warmth(program)
+	summary.WarmEngine, summary.WarmTokens = m.cachedPrefix(program)
 	return summary, true
 }
 
-// warmth finds where the program's prefix is cached, and how much of it.
-func (m *Machine) warmth(program *Program) (engine string, tokens int64) {
+// cachedPrefix returns the engine that probably has a prefix of the program's next prompt in its cache, and the prefix's length.
+func (m *Machine) cachedPrefix(program *Program) (engine string, tokens int64) {
 	if program.LastEngine != "" {
 		return program.LastEngine, program.LastTokens
 	}
 	for _, ancestor := range m.ancestors(program.Key) {
-		if ancestor.LastEngine != "" && ancestor.Opening == program.Opening {
-			return ancestor.LastEngine, program.Opening.Tokens
+		if ancestor.LastEngine != "" && ancestor.FirstMessage == program.FirstMessage {
+			return ancestor.LastEngine, program.FirstMessage.Tokens
 		}
 	}
 	return "", 0
@@ -256,13 +258,13 @@
 	}
 	for _, call := range p.Open {
 		if !call.Ended() {
-			result.Open = append(result.Open, *call.public())
+			result.Open = append(result.Open, *call.withoutMessages())
 		}
 	}
 	return result
 }
 
-// History returns a program's messages so far.
+// History returns a program's messages so far, oldest first.
 func (m *Machine) History(key Key) []Message {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -272,7 +274,7 @@
 	return nil
 }
 
-// OpenCallsBefore lists the calls before sequence that are under way.
+// OpenCallsBefore returns the ids of the calls before sequence that have not ended.
 func (m *Machine) OpenCallsBefore(key Key, sequence uint64) []string {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -289,7 +291,7 @@
 	return open
 }
 
-// Call returns a copy of a call.
+// Call returns a copy of a call without its messages, and whether the call exists.
 func (m *Machine) Call(key Key, callID string) (*Call, bool) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -297,10 +299,10 @@
 	if program == nil || program.Open[callID] == nil {
 		return nil, false
 	}
-	return program.Open[callID].public(), true
+	return program.Open[callID].withoutMessages(), true
 }
 
-// Count returns how many programs there are, ended ones included.
+// Count returns the number of programs, ended ones included.
 func (m *Machine) Count() int {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
--- a/internal/program/machine.go
+++ b/internal/program/machine.go
@@ -13,39 +13,40 @@
 	"github.com/mountstile/mountstile/internal/apierr"
 )
 
-// Retention of what has ended, in milliseconds.
+// Retention of ended calls and programs.
 const (
-	// CallRetention is how long an answer is kept for its idempotency key.
-	CallRetention = 60 * 60 * 1000
-	// ProgramRetention is how long an ended program is remembered.
-	ProgramRetention = 60 * 60 * 1000
+	// CallRetentionMillis is how long an ended call with an idempotency key is kept.
+	CallRetentionMillis = 60 * 60 * 1000
+	// ProgramRetentionMillis is how long an ended program is kept.
+	ProgramRetentionMillis = 60 * 60 * 1000
 )
 
-// Machine holds the programs of one partition. Apply is called by one goroutine; reading is safe
-// from any.
+// Machine is the state machine of one partition's programs. Apply is called by one goroutine; methods that read are safe for
+// concurrent use.
 type Machine struct {
 	mutex    sync.RWMutex
 	programs map[Key]*Program
-	// now is the highest time that any command carried: it never goes back with a new leader.
-	now     int64
-	watches map[Key]chan struct{}
+	// now is the highest time of any command in milliseconds since 1970. It does not go back when a new leader's clock is
+	// behind.
+	now      int64
+	watchers map[Key]chan struct{}
 }
 
-// NewMachine returns an empty Machine.
+// NewMachine returns a Machine without programs.
 func NewMachine() *Machine {
-	return &Machine{programs: make(map[Key]*Program), watches: make(map[Key]chan struct{})}
+	return &Machine{programs: make(map[Key]*Program), watchers: make(map[Key]chan struct{})}
 }
 
 // Apply implements replica.StateMachine; the result is a Result.
 func (m *Machine) Apply(_ uint64, encoded []byte) any {
 	var command Command
 	if err := json.Unmarshal(encoded, &command); err != nil {
-		return Result{Error: apierr.New(apierr.Internal, apierr.NotRun, "undecodable command: %s", err)}
+		return Result{Error: apierr.New(apierr.Internal, apierr.NotRun, "decoding a command: %s", err)}
 	}
 	return m.Execute(command)
 }
 
-// Execute applies a decoded command.
+// Execute applies a decoded command. The result depends only on the commands executed so far.
 func (m *Machine) Execute(command Command) Result {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -56,7 +57,7 @@
 	case command.Dispatch != nil:
 		return m.dispatch(*command.Dispatch)
 	case command.Lose != nil:
-		return m.lose(*command.Lose)
+		return m.loseAttempt(*command.Lose)
 	case command.Complete != nil:
 		return m.complete(*command.Complete)
 	case command.Fail != nil:
@@ -64,47 +65,47 @@
 	case command.End != nil:
 		return m.end(*command.End)
 	case command.Release != nil:
-		return m.release(*command.Release)
+		return m.releaseCache(*command.Release)
 	case command.Expire != nil:
 		return m.expire()
 	}
-	return Result{Error: apierr.New(apierr.Internal, apierr.NotRun, "empty command")}
+	return Result{Error: apierr.New(apierr.Internal, apierr.NotRun, "command without an operation")}
 }
 
-// changed wakes whoever waits for a program.
-func (m *Machine) changed(key Key) {
-	if watch := m.watches[key]; watch != nil {
-		close(watch)
-		delete(m.watches, key)
+// notify closes the channel that Watch returned for a program.
+func (m *Machine) notify(key Key) {
+	if watcher := m.watchers[key]; watcher != nil {
+		close(watcher)
+		delete(m.watchers, key)
 	}
 }
 
-// Watch returns a channel that is closed at the next change of a program.
+// Watch returns a channel that is closed at the next change of a program, which need not exist yet.
 func (m *Machine) Watch(key Key) <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.watches[key] == nil {
-		m.watches[key] = make(chan struct{})
+	if m.watchers[key] == nil {
+		m.watchers[key] = make(chan struct{})
 	}
-	return m.watches[key]
+	return m.watchers[key]
 }
 
-// ancestors returns the program and all above it, itself first.
+// ancestors returns the program and its existing ancestors, itself first.
 func (m *Machine) ancestors(key Key) []*Program {
-	var chain []*Program
+	var lineage []*Program
 	for path := key.Path; ; {
 		if found := m.programs[Key{key.Tenant, path}]; found != nil {
-			chain = append(chain, found)
+			lineage = append(lineage, found)
 		}
 		cut := strings.LastIndexByte(path, '/')
 		if cut < 0 {
-			return chain
+			return lineage
 		}
 		path = path[:cut]
 	}
 }
 
-// descendants returns the program and all sub-agents below it, in a fixed order.
+// descendants returns the program and all its sub-agents in a deterministic order.
 func (m *Machine) descendants(key Key) []*Program {
 	var found []*Program
 	for candidate, program := range m.programs {
@@ -116,7 +117,7 @@
 	return found
 }
 
-// sortedPrograms keeps every replica's order the same.
+// sortedPrograms returns all programs in an order that is the same on every replica.
 func (m *Machine) sortedPrograms() []*Program {
 	list := slices.Collect(maps.Values(m.programs))
 	slices.SortFunc(list, func(a, b *Program) int {
@@ -128,25 +129,25 @@
 	return list
 }
 
-// machineState is the form of a snapshot.
-type machineState struct {
+// snapshotState is the content of a snapshot.
+type snapshotState struct {
 	Now      int64      `json:"now"`
 	Programs []*Program `json:"programs"`
 }
 
-// ErrSnapshot means that a snapshot can't be the state of any replica.
+// ErrSnapshot is returned for a snapshot that decodes, but is not a valid state.
 type ErrSnapshot struct{ Reason string }
 
 // Error implements error.
-func (e *ErrSnapshot) Error() string { return "snapshot of programs: " + e.Reason }
+func (e *ErrSnapshot) Error() string { return "invalid snapshot of programs: " + e.Reason }
 
-func (s machineState) check() error {
+func (s snapshotState) validate() error {
 	for _, program := range s.Programs {
 		if program == nil {
 			return &ErrSnapshot{Reason: "a program is missing"}
 		}
-		if !program.History.readable() {
-			return &ErrSnapshot{Reason: "the history of program " + program.Key.Path + " can't be read"}
+		if !program.History.valid() {
+			return &ErrSnapshot{Reason: "the history of program " + program.Key.Path + " is corrupt"}
 		}
 		for id, call := range program.Open {
 			if call == nil || call.ID != id {
@@ -158,26 +159,26 @@
 }
 
 var (
-	snapshotEncoder, _ = zstd.NewWriter(nil)
-	snapshotDecoder, _ = zstd.NewReader(nil)
+	zstdEncoder, _ = zstd.NewWriter(nil)
+	zstdDecoder, _ = zstd.NewReader(nil)
 )
 
 // Snapshot implements replica.StateMachine.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	encoded, err := json.Marshal(machineState{Now: m.now, Programs: m.sortedPrograms()})
+	encoded, err := json.Marshal(snapshotState{Now: m.now, Programs: m.sortedPrograms()})
 	if err != nil {
 		return nil, errors.Wrap(err, "encoding the programs")
 	}
-	return snapshotEncoder.EncodeAll(encoded, nil), nil
+	return zstdEncoder.EncodeAll(encoded, nil), nil
 }
 
 // Restore implements replica.StateMachine.
 func (m *Machine) Restore(data []byte) error {
-	var state machineState
+	var state snapshotState
 	if len(data) > 0 {
-		encoded, err := snapshotDecoder.DecodeAll(data, nil)
+		encoded, err := zstdDecoder.DecodeAll(data, nil)
 		if err != nil {
 			return errors.Wrap(err, "decompressing the programs")
 		}
@@ -185,7 +186,7 @@
 			return errors.Wrap(err, "decoding the programs")
 		}
 	}
-	if err := state.check(); err != nil {
+	if err := state.validate(); err != nil {
 		return err
 	}
 	m.mutex.Lock()
@@ -193,7 +194,7 @@
 	m.now = state.Now
 	m.programs = make(map[Key]*Program, len(state.Programs))
 	for _, program := range state.Programs {
-		// An empty map is left out of a snapshot and comes back as none.
+		// Empty maps are omitted from snapshots.
 		if program.Open == nil {
 			program.Open = make(map[string]*Call)
 		}
@@ -202,8 +203,8 @@
 		}
 		m.programs[program.Key] = program
 	}
-	for key := range m.watches {
-		m.changed(key)
+	for key := range m.watchers {
+		m.notify(key)
 	}
 	return nil
 }
--- a/internal/program/machine_test.go
+++ b/internal/program/machine_test.go
@@ -44,7 +44,7 @@
 		Answer: program.Answer{Message: answerOf(text), Usage: program.Usage{Prompt: 10, Completion: 5}}}})
 }
 
-func TestOrderWithinAChain(t *testing.T) {
+func TestCallsRunInSequence(t *testing.T) {
 	machine := program.NewMachine()
 	assert.Equal(t, admit(machine, program.Admit{CallID: "b", Sequence: 2}).Error.Code, apierr.SequenceGap)
 	assert.Assert(t, admit(machine, program.Admit{CallID: "a", Sequence: 1}).Error == nil)
@@ -71,13 +71,13 @@
 	assert.Equal(t, parent.Reserved, int64(400))
 }
 
-func TestRefusedCallLeavesNoProgram(t *testing.T) {
+func TestRefusedCallCreatesNoProgram(t *testing.T) {
 	machine := program.NewMachine()
 	assert.Equal(t, admit(machine, program.Admit{CallID: "a", Reserve: 5000}).Error.Code, apierr.BudgetExceeded)
 	assert.Equal(t, machine.Count(), 0)
 }
 
-func TestNonRepeatableHasOneAttempt(t *testing.T) {
+func TestNonRepeatableCallHasOneAttempt(t *testing.T) {
 	machine := program.NewMachine()
 	admit(machine, program.Admit{CallID: "a", Reserve: 100})
 	dispatch(machine, "a", 1)
@@ -85,12 +85,12 @@
 	assert.Equal(t, lost.Error.Outcome, apierr.OutcomeUnknown)
 	assert.Equal(t, dispatch(machine, "a", 2).Error.Outcome, apierr.OutcomeUnknown)
 	summary, _ := machine.Summary(key)
-	assert.Equal(t, summary.Used, int64(100), "an unknown outcome is settled at the reservation")
+	assert.Equal(t, summary.Used, int64(100), "the whole reservation is charged for an unknown outcome")
 }
 
-// TestUndeliveredIsNotRun: a call whose attempts all were not sent, and which then finds no engine, was not
-// run, and its caller may send it again in its place. One lost attempt that may have been sent ends that.
-func TestUndeliveredIsNotRun(t *testing.T) {
+// TestUndeliveredCallIsNotRun checks that a call fails with NotRun, and its sequence number and key may be used again, only if
+// none of its attempts may have been sent.
+func TestUndeliveredCallIsNotRun(t *testing.T) {
 	for name, sent := range map[string]bool{"never sent": false, "one attempt may have been sent": true} {
 		t.Run(name, func(t *testing.T) {
 			machine := program.NewMachine()
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestUndeliveredMayGoAgain(t *testing.T) {
+func TestUndeliveredCallMayBeDispatchedAgain(t *testing.T) {
 	machine := program.NewMachine()
 	admit(machine, program.Admit{CallID: "a"})
 	dispatch(machine, "a", 1)
@@ -122,14 +122,14 @@
 	assert.Assert(t, dispatch(machine, "a", 2).Error == nil)
 }
 
-// TestLostCallCostsWhatItsCallerHas: a call that ends between two attempts costs what its caller has of the answer, which the
-// gateway reports with the loss, and no more than was reserved.
-func TestLostCallCostsWhatItsCallerHas(t *testing.T) {
+// TestLostCallCostsWhatWasDelivered checks that a call that ends between two attempts costs the part of the answer that its
+// caller has received, and no more than was reserved.
+func TestLostCallCostsWhatWasDelivered(t *testing.T) {
 	lose := func(machine *program.Machine, attempt int, spent int64) {
 		machine.Execute(program.Command{At: 1, Lose: &program.LoseAttempt{CallID: "a", Program: key, Attempt: attempt, Spent: spent}})
 	}
 	ends := map[string]program.Command{
-		"given up":      {At: 1, Fail: &program.Fail{CallID: "a", Program: key, Error: apierr.New(apierr.EngineFailed, apierr.NotRun, "no engine")}},
+		"failed":        {At: 1, Fail: &program.Fail{CallID: "a", Program: key, Error: apierr.New(apierr.EngineFailed, apierr.NotRun, "no engine")}},
 		"program ended": {At: 1, End: &program.End{Program: key, Reason: program.EndByCaller}},
 	}
 	for name, end := range ends {
@@ -159,7 +159,7 @@
 	result := machine.Execute(program.Command{At: 1, Fail: &program.Fail{CallID: "a", Program: key, Error: failure}})
 	assert.Equal(t, result.Error.Outcome, apierr.NotRun)
 	assert.Equal(t, dispatch(machine, "a", 1).Error.Outcome, apierr.NotRun)
-	// Its place and key may be used again, for nothing was sent.
+	// Its sequence number and key may be used again, since nothing was sent.
 	assert.Assert(t, admit(machine, program.Admit{CallID: "b", IdempotencyKey: "k", Sequence: 1}).Error == nil)
 }
 
@@ -179,7 +179,7 @@
 	admit(machine, program.Admit{CallID: "a", Messages: []program.Message{user("1")}, CheckBase: true})
 	dispatch(machine, "a", 1)
 	complete(machine, "a", 1, "one")
-	// An answer that a client sends back with empty members added is the same message.
+	// An answer that a client sends back with empty fields added is the same message.
 	returned := program.Message(`{"role":"assistant","content":[{"type":"text","text":"one"}],"tool_calls":[],"refusal":null}`)
 	mark := program.HistoryMark{}.Extend([]program.Message{user("1"), returned})
 	assert.Assert(t, admit(machine, program.Admit{CallID: "b", Base: mark, CheckBase: true}).Error == nil)
@@ -190,7 +190,7 @@
 	assert.Equal(t, result.Mark, mark)
 }
 
-func TestEndReachesSubAgentsAndKeepsCachesUntilReleased(t *testing.T) {
+func TestEndIncludesSubAgentsAndKeepsCaches(t *testing.T) {
 	machine := program.NewMachine()
 	child := program.Key{Tenant: "t", Path: "p/c"}
 	admit(machine, program.Admit{CallID: "a"})
@@ -202,10 +202,10 @@
 	call, _ := machine.Call(child, "b")
 	assert.Equal(t, call.Error.Outcome, apierr.NotRun)
 	assert.DeepEqual(t, machine.HeldCaches(), []program.HeldCache{{Program: key, Engine: "e", Service: "s"}})
-	later := int64(3 * program.ProgramRetention)
+	later := int64(3 * program.ProgramRetentionMillis)
 	machine.Execute(program.Command{At: later, Expire: &program.Expire{}})
 	_, kept := machine.Summary(key)
-	assert.Assert(t, kept, "a program is kept until each engine has confirmed")
+	assert.Assert(t, kept, "the program is kept until every engine has confirmed the release")
 	machine.Execute(program.Command{At: later, Release: &program.ReleaseCache{Program: key, Engine: "e"}})
 	machine.Execute(program.Command{At: later, Expire: &program.Expire{}})
 	assert.Equal(t, machine.Count(), 0)
@@ -214,7 +214,7 @@
 func TestLimitsEndPrograms(t *testing.T) {
 	machine := program.NewMachine()
 	admit(machine, program.Admit{CallID: "a"})
-	assert.Assert(t, !machine.ExpiryDue(2000), "a call is under way")
+	assert.Assert(t, !machine.ExpiryDue(2000), "a call has not ended")
 	dispatch(machine, "a", 1)
 	complete(machine, "a", 1, "x")
 	assert.Assert(t, machine.ExpiryDue(2000))
@@ -223,8 +223,8 @@
 	assert.Equal(t, summary.EndReason, program.EndIdle)
 }
 
-// TestSnapshotRestoresEverything plays random commands and compares a machine with its own copy
-// after each. A program without open calls came back without a map for them (simulation seed 4).
+// TestSnapshotRestoresEverything compares a machine with one that is restored from its snapshot after each of a series of random
+// commands. Programs without calls, whose empty maps are omitted from snapshots, are among the states.
 func TestSnapshotRestoresEverything(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		machine, replica := program.NewMachine(), program.NewMachine()
@@ -267,8 +267,8 @@
 	}
 }
 
-// TestLongHistoryComesBackWhole crosses the size at which messages are compressed.
-func TestLongHistoryComesBackWhole(t *testing.T) {
+// TestLongHistoryIsRestored covers histories with compressed chunks.
+func TestLongHistoryIsRestored(t *testing.T) {
 	machine := program.NewMachine()
 	var expected []program.Message
 	for number := range 40 {
@@ -287,7 +287,7 @@
 	assert.DeepEqual(t, restored.History(key), expected)
 }
 
-// FuzzApply: whatever a log entry holds, no replica panics, and no budget goes below zero.
+// FuzzApply checks that no log entry makes a replica panic, or a budget's use negative.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"at":1,"admit":{"call":"a","program":{"tenant":"t","path":"p"},"reserve":5,"limits":{"tokens":10,"calls":2}}}`), []byte(`{"fail":{"call":"a","program":{"tenant":"t","path":"p"}}}`))
 	f.Add([]byte(`{"admit":{"call":"a","program":{"tenant":"t","path":"p"},"reserve":-5}}`), []byte(`{"dispatch":{"call":"a","program":{"tenant":"t","path":"p"},"attempt":1}}`))
@@ -309,7 +309,7 @@
 	})
 }
 
-// FuzzRestore: a snapshot that was damaged or made by somebody else is refused or is usable.
+// FuzzRestore checks that any snapshot is either rejected or usable.
 func FuzzRestore(f *testing.F) {
 	f.Add([]byte(`{"now":5,"programs":[{"key":{"tenant":"t","path":"p"},"limits":{"tokens":9,"calls":9},"next_sequence":1}]}`))
 	f.Add([]byte(`{"programs":[null]}`))
@@ -331,9 +331,8 @@
 	})
 }
 
-// TestSingleCallsAreForgottenSoon: the programs that gateways make for single calls do not pile up
-// for as long as named ones are remembered.
-func TestSingleCallsAreForgottenSoon(t *testing.T) {
+// TestEphemeralProgramsAreRemoved checks that programs for unnamed calls are not kept for ProgramRetentionMillis.
+func TestEphemeralProgramsAreRemoved(t *testing.T) {
 	machine := program.NewMachine()
 	single := program.Key{Tenant: "t", Path: program.EphemeralPrefix + "x"}
 	admit(machine, program.Admit{CallID: "a", Program: single})
@@ -347,9 +346,9 @@
 	assert.Equal(t, machine.Count(), 0)
 }
 
-// TestSubAgentsAreWarmWhereTheirPromptIs: a new sub-agent that shares its parent's first message is
-// warm on the parent's engine; one with another prompt is not, and a call of its own counts more.
-func TestSubAgentsAreWarmWhereTheirPromptIs(t *testing.T) {
+// TestWarmEngineOfSubAgents checks that a new sub-agent inherits its parent's warm engine only with the same first message, and
+// that a call of its own takes precedence.
+func TestWarmEngineOfSubAgents(t *testing.T) {
 	machine := program.NewMachine()
 	key := func(path string) program.Key { return program.Key{Tenant: "t", Path: path} }
 	system, other := json.RawMessage(`{"role":"system","content":"`+strings.Repeat("x", 400)+`"}`), json.RawMessage(`{"role":"system","content":"other"}`)
--- a/internal/program/types.go
+++ b/internal/program/types.go
@@ -1,7 +1,6 @@
-// Package program is the replicated state of agent programs: the order of their calls, their
-// history, budgets and idempotency records. Machine is pure: the same commands give the same
-// state on every replica; time enters only through Command.At.
-// docs/design/program-state.md explains the promises and how the commands keep them.
+// Package program implements the replicated state of agent programs: the order of their calls, their history, budgets and
+// idempotency records. Machine is deterministic: the same commands give the same state on every replica, and the time comes only
+// from Command.At. docs/design/program-state.md describes the guarantees and how the commands keep them.
 package program
 
 import (
@@ -11,28 +10,29 @@
 	"github.com/mountstile/mountstile/internal/apierr"
 )
 
-// Key identifies a program. Path is the caller's identifier; that of a sub-agent is its parent's,
-// a slash, and its own.
+// Key identifies a program. Path is the caller's identifier; the path of a sub-agent is its parent's path, a slash, and its own
+// identifier.
 type Key struct {
 	Tenant string `json:"tenant"`
 	Path   string `json:"path"`
 }
 
-// EphemeralPrefix starts the paths of programs that their callers did not name. Callers can't use it.
+// EphemeralPrefix is the prefix of paths of programs that gateways create for unnamed calls. Callers can't use it.
 const EphemeralPrefix = "~"
 
-// Message is one element of a chat history, as the caller or an engine wrote it.
+// Message is one message of a chat history, in the encoding of the caller or engine that sent it.
 type Message = json.RawMessage
 
-// CallState is how far a call has come.
+// CallState is the state of a call: admitted, dispatching, and then completed or failed. A lost attempt returns a call from
+// dispatching to admitted.
 type CallState string
 
 const (
-	// Admitted calls have their place in the order and their budget; nothing was sent.
+	// Admitted calls have a sequence number and a budget reservation, and no attempt in progress.
 	Admitted CallState = "admitted"
-	// Dispatching calls may have reached the engine of their latest attempt.
+	// Dispatching calls may have been sent to the engine of their latest attempt.
 	Dispatching CallState = "dispatching"
-	// Completed calls have an answer.
+	// Completed calls have ended with an answer.
 	Completed CallState = "completed"
 	// Failed calls have ended without an answer.
 	Failed CallState = "failed"
@@ -45,24 +45,24 @@
 	Completion int64 `json:"completion_tokens"`
 }
 
-// Total is what a call costs its program's budget.
+// Total returns the tokens that are charged to budgets.
 func (u Usage) Total() int64 { return u.Prompt + u.Completion }
 
-// Answer is the stored result of a call.
+// Answer is the stored result of a completed call.
 type Answer struct {
-	// Message is the assistant's message of a model call.
+	// Message is the assistant's message, of calls to a model engine only.
 	Message      Message `json:"message,omitempty"`
 	FinishReason string  `json:"finish_reason,omitempty"`
 	Model        string  `json:"model,omitempty"`
 	Usage        Usage   `json:"usage"`
-	// Status, Header, Body and Trailer are the answer of an application engine.
+	// Status, Header, Body and Trailer are the response of an application engine.
 	Status  int         `json:"status,omitempty"`
 	Header  http.Header `json:"header,omitempty"`
 	Body    []byte      `json:"body,omitempty"`
 	Trailer http.Header `json:"trailer,omitempty"`
 }
 
-// Limits bound one program with its sub-agents.
+// Limits apply to a program together with its sub-agents. A duration of 0 is unlimited.
 type Limits struct {
 	TokenBudget int64 `json:"tokens"`
 	CallBudget  int64 `json:"calls"`
@@ -70,7 +70,7 @@
 	MaxMillis   int64 `json:"max_ms"`
 }
 
-// Call is one request of a program.
+// Call is one request of a program. Times are in milliseconds since 1970.
 type Call struct {
 	ID             string    `json:"id"`
 	Sequence       uint64    `json:"sequence"`
@@ -84,11 +84,11 @@
 	Engine         string    `json:"engine,omitempty"`
 	Gateway        string    `json:"gateway,omitempty"`
 	Execution      string    `json:"execution,omitempty"`
-	// ReachedBefore is the program's Reached before the call's first dispatch.
-	ReachedBefore uint64 `json:"reached_before,omitempty"`
-	// MayHaveRun is set if an attempt was lost that its gateway may have sent.
+	// LastDispatchedBefore is the program's LastDispatched before the call's dispatch, restored if no attempt was sent.
+	LastDispatchedBefore uint64 `json:"reached_before,omitempty"`
+	// MayHaveRun is set once an attempt is lost that its gateway may have sent.
 	MayHaveRun bool `json:"may_have_run,omitempty"`
-	// Spent is what the call costs, in tokens, if it ends without another attempt.
+	// Spent is the cost in tokens if the call ends without another attempt, Reserved the budget reservation in tokens.
 	Spent      int64         `json:"spent,omitempty"`
 	Reserved   int64         `json:"reserved,omitempty"`
 	Base       HistoryMark   `json:"base"`
@@ -103,45 +103,46 @@
 // Ended reports whether the call is completed or failed.
 func (c *Call) Ended() bool { return c.State == Completed || c.State == Failed }
 
-// Program is one agent program or sub-agent.
+// Program is one agent program or sub-agent. Times are in milliseconds since 1970.
 type Program struct {
 	Key    Key    `json:"key"`
 	Limits Limits `json:"limits"`
-	// Used and Reserved count tokens, and Calls calls, of the program and its sub-agents.
+	// Used and Reserved are tokens, Calls is a number of calls, all including sub-agents.
 	Used     int64 `json:"used"`
 	Reserved int64 `json:"reserved"`
 	Calls    int64 `json:"calls"`
-	// NextSequence is the place of the next call; the first is 1. Reached is the highest place of
-	// a call that may have reached an engine.
-	NextSequence uint64           `json:"next_sequence"`
-	Reached      uint64           `json:"reached,omitempty"`
-	History      History          `json:"history,omitzero"`
-	Mark         HistoryMark      `json:"mark"`
-	Open         map[string]*Call `json:"open,omitempty"`
-	CreatedAt    int64            `json:"created_at"`
-	ActiveAt     int64            `json:"active_at"`
-	// EndedAt is set once the program has ended; EndReason tells why.
+	// NextSequence is the sequence number of the next call; the first is 1. LastDispatched is the highest sequence number
+	// of a call that may have been sent to an engine.
+	NextSequence   uint64           `json:"next_sequence"`
+	LastDispatched uint64           `json:"reached,omitempty"`
+	History        History          `json:"history,omitzero"`
+	Mark           HistoryMark      `json:"mark"`
+	Open           map[string]*Call `json:"open,omitempty"`
+	CreatedAt      int64            `json:"created_at"`
+	ActiveAt       int64            `json:"active_at"`
+	// EndedAt and EndReason are set when the program ends.
 	EndedAt   int64  `json:"ended_at,omitempty"`
 	EndReason string `json:"end_reason,omitempty"`
-	// Caches are the engines that may hold the program's cache, with the service that used them.
+	// Caches maps the engines that may hold the program's cache to the service that used them.
 	Caches map[string]string `json:"caches,omitempty"`
-	// LastEngine served the latest call; LastTokens is how long its prompt and answer were.
+	// LastEngine is the engine of the latest dispatch; LastTokens is the length of prompt and answer of the latest
+	// completed call.
 	LastEngine string `json:"last_engine,omitempty"`
 	LastTokens int64  `json:"last_tokens,omitempty"`
-	// Opening is the first message. Programs that share it share a prefix of their prompts.
-	Opening Opening `json:"opening,omitzero"`
+	// FirstMessage identifies programs whose prompts have a common prefix.
+	FirstMessage FirstMessage `json:"opening,omitzero"`
 }
 
-// Opening identifies the first message of a program.
-type Opening struct {
+// FirstMessage is the hash and estimated length of a program's first message.
+type FirstMessage struct {
 	Hash   string `json:"hash"`
 	Tokens int64  `json:"tokens"`
 }
 
-// Ended reports whether the program takes no more calls.
+// Ended reports whether the program has ended, and admits no more calls.
 func (p *Program) Ended() bool { return p.EndedAt > 0 }
 
-// Admit asks for a place in the order and for budget. It is idempotent by CallID.
+// Admit assigns a sequence number to a call and reserves its budget. It is idempotent by CallID.
 type Admit struct {
 	CallID         string `json:"call"`
 	Program        Key    `json:"program"`
@@ -152,40 +153,42 @@
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 	BodyHash       string `json:"body_hash"`
 	Repeatable     bool   `json:"repeatable"`
-	// Reserve is the most tokens that the call can cost.
+	// Reserve is the upper bound of the call's cost, in tokens.
 	Reserve int64 `json:"reserve"`
-	// Messages are new; Base is the history that they follow, checked if CheckBase is set.
+	// Messages are appended to the history when the call completes. Base identifies the history before them, and must match
+	// if CheckBase is set.
 	Messages  []Message   `json:"messages,omitempty"`
 	Base      HistoryMark `json:"base"`
 	CheckBase bool        `json:"check_base,omitempty"`
-	// Limits apply if the program, or an ancestor, is new.
+	// Limits are those of the program and its ancestors as far as they are new. OwnTokens, if set, lowers the token budget
+	// of a new program, but not of its ancestors.
 	Limits    Limits `json:"limits"`
 	OwnTokens int64  `json:"own_tokens,omitempty"`
 }
 
-// Dispatch records that a call goes to an engine. Nothing may be sent before it is committed.
+// Dispatch records that a call is about to be sent to an engine. The call must not be sent before it is committed.
 type Dispatch struct {
 	CallID  string `json:"call"`
 	Program Key    `json:"program"`
 	Attempt int    `json:"attempt"`
 	Engine  string `json:"engine"`
 	Gateway string `json:"gateway"`
-	// Execution is the caller's request that may send the attempt. Several requests with one
-	// idempotency key may wait at the same gateway; only this one sends.
+	// Execution identifies the caller's request that may send the attempt. Of several requests with the same idempotency key at
+	// a gateway only this one may.
 	Execution string `json:"execution,omitempty"`
-	// CacheService is set if the engine will hold the program's cache.
+	// CacheService is the service for which the engine will hold the program's cache; empty if it will not.
 	CacheService string `json:"cache_service,omitempty"`
 }
 
-// LoseAttempt records that an attempt will bring no answer.
+// LoseAttempt records that an attempt will give no answer. A call that is not repeatable fails unless the attempt is Undelivered.
 type LoseAttempt struct {
 	CallID  string `json:"call"`
 	Program Key    `json:"program"`
 	Attempt int    `json:"attempt"`
-	// Undelivered means that the gateway, the only process that could send, says that it sent
-	// nothing and never will.
+	// Undelivered is set if the gateway, the only process that could send the attempt, has confirmed that it has not sent it
+	// and never will.
 	Undelivered bool `json:"undelivered,omitempty"`
-	// Spent is the cost, in tokens, of what the caller has of the answer so far.
+	// Spent is the cost in tokens of the part of the answer that the caller has received.
 	Spent int64 `json:"spent,omitempty"`
 }
 
@@ -197,13 +200,14 @@
 	Answer  Answer `json:"answer"`
 }
 
-// Fail ends a call without an answer. Attempt 0 forbids any dispatch: it is what proves NotRun.
+// Fail ends a call without an answer. With Attempt 0 it applies only to an admitted call, which then can't be dispatched any more:
+// this is what makes NotRun certain.
 type Fail struct {
 	CallID  string        `json:"call"`
 	Program Key           `json:"program"`
 	Attempt int           `json:"attempt,omitempty"`
 	Error   *apierr.Error `json:"error"`
-	// Usage is what the attempt is known to have cost; nil settles at the reservation.
+	// Usage is the attempt's known cost; if nil, the whole reservation is charged.
 	Usage *Usage `json:"usage,omitempty"`
 }
 
@@ -213,13 +217,13 @@
 	Reason  string `json:"reason"`
 }
 
-// ReleaseCache records that an engine holds no more cache of a program.
+// ReleaseCache records that an engine does not hold an ended program's cache any more.
 type ReleaseCache struct {
 	Program Key    `json:"program"`
 	Engine  string `json:"engine"`
 }
 
-// Expire ends programs over their limits and forgets ended ones.
+// Expire ends programs that exceed their limits, and removes ended calls and programs past their retention.
 type Expire struct{}
 
 // Command is one log entry; exactly one of the pointers is set.
@@ -236,18 +240,19 @@
 	Expire   *Expire       `json:"expire,omitempty"`
 }
 
-// Result is what applying a command gives to its proposer.
+// Result is the result of a command for its proposer.
 type Result struct {
 	// Call is a copy of the call after the command, without its messages.
 	Call *Call
-	// Existing is set if Admit found the call, or another with its idempotency key.
+	// Existing is set if Admit found the call or another one with its idempotency key, and if another command had been
+	// applied before or came too late.
 	Existing bool
-	// Mark is the end of the history; set with HistoryConflict and with Dispatch.
+	// Mark identifies the whole history; set by Dispatch and Complete, and with HistoryConflict.
 	Mark  HistoryMark
 	Error *apierr.Error
 }
 
-// Program returns the program that a command about a call names.
+// Program returns the program of a command about a call, and the zero Key for other commands.
 func (c Command) Program() Key {
 	switch {
 	case c.Admit != nil:
