--- a/internal/apierr/apierr.go
+++ b/internal/apierr/apierr.go
@@ -1,5 +1,4 @@
-// Package apierr defines the typed failure that crosses process boundaries: between nodes, and
-// from a node to its callers and operators.
+// Package apierr defines the error type of the APIs between nodes, and between a node and its callers and operators.
 package apierr
 
 import (
@@ -10,22 +9,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Outcome tells a caller what is known about the execution of its request.
+// Outcome is what is known about the execution of a request that failed.
 type Outcome string
 
 const (
 	// NotRun means that the request was not executed and never will be.
 	NotRun Outcome = "not_run"
-	// Ran means that the request was executed to an end, successful or not.
+	// Ran means that the execution of the request has ended, with success or not.
 	Ran Outcome = "ran"
-	// OutcomeUnknown means that the request may have been executed.
+	// OutcomeUnknown means that the request may have been executed, or may still be.
 	OutcomeUnknown Outcome = "outcome_unknown"
 )
 
-// Code is the stable, documented name of a failure. docs/API.md lists them.
+// Code is the stable name of a kind of error. docs/API.md documents all codes.
 type Code string
 
-// The failure codes.
+// The error codes; statusByCode maps them to HTTP statuses.
 const (
 	InvalidRequest       Code = "invalid_request"
 	Unauthenticated      Code = "unauthenticated"
@@ -92,17 +91,17 @@
 	Internal:             http.StatusInternalServerError,
 }
 
-// statusClientClosedRequest is the customary status for a request that its caller gave up.
+// statusClientClosedRequest is the status that proxies customarily log for a request whose client closed the connection.
 const statusClientClosedRequest = 499
 
-// Error is a failure with a stable code, and with what is known about the request's execution.
+// Error is an error with a stable code and the outcome of the request.
 type Error struct {
 	Code       Code    `json:"code"`
 	Outcome    Outcome `json:"outcome"`
 	Message    string  `json:"message"`
 	Field      string  `json:"field,omitempty"`
 	RetryAfter int64   `json:"retry_after_ms,omitempty"`
-	// Leader is the node to ask instead; set with NotLeader only.
+	// Leader is the node to send the request to instead; set only with NotLeader.
 	Leader string `json:"leader,omitempty"`
 }
 
@@ -114,21 +113,21 @@
 // Error implements error.
 func (e *Error) Error() string { return string(e.Code) + ": " + e.Message }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy with the time after which the caller may retry.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	copied := *e
 	copied.RetryAfter = wait.Milliseconds()
 	return &copied
 }
 
-// WithField returns a copy that names the input field at fault.
+// WithField returns a copy with the name of the invalid input field.
 func (e *Error) WithField(field string) *Error {
 	copied := *e
 	copied.Field = field
 	return &copied
 }
 
-// HTTPStatus is the status line that goes with the code.
+// HTTPStatus returns the HTTP status for the code; 500 for an unknown one.
 func (e *Error) HTTPStatus() int {
 	if status, ok := statusByCode[e.Code]; ok {
 		return status
@@ -136,8 +135,8 @@
 	return http.StatusInternalServerError
 }
 
-// From finds the Error in err's chain. Another failure becomes Internal with the given outcome;
-// nil stays nil.
+// From returns the Error in err's chain; if there is none, an Internal error with the given outcome and err's message. It returns
+// nil for nil.
 func From(err error, outcome Outcome) *Error {
 	if err == nil {
 		return nil
@@ -149,7 +148,7 @@
 	return New(Internal, outcome, "%s", err.Error())
 }
 
-// Is reports whether err carries the given code.
+// Is reports whether err's chain contains an Error with the given code.
 func Is(err error, code Code) bool {
 	var typed *Error
 	return errors.As(err, &typed) && typed.Code == code
