--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -1,6 +1,6 @@
 // Package owner keeps the exact load of the engines that this node owns: the calls that run, the queue, and a circuit
-// breaker. A call is sent to an engine only with a slot from its owner. While two nodes take themselves for the owner, the
-// engine may be overloaded; nothing else depends on there being one.
+// breaker. Placement reserves a slot at the owner before a call is sent to an engine. Two nodes that own an engine at the same
+// time may overload it briefly, but do no other harm.
 package owner
 
 import (
@@ -31,7 +31,7 @@
 	breakerFailures = 3
 	breakerMinOpen  = time.Second
 	breakerMaxOpen  = 30 * time.Second
-	// slowStartDivisor divides the slots of an engine whose breaker has closed again; each success adds a slot.
+	// slowStartDivisor: a recovered engine starts with slots/slowStartDivisor, and each success adds a slot.
 	slowStartDivisor = 4
 	// serviceTimeSmoothing is the weight of the newest sample in the moving average of service times.
 	serviceTimeSmoothing = 0.1
@@ -39,7 +39,7 @@
 	stepTTL = 10 * time.Second
 	// stepSmoothing is the weight of the newest sample in the moving average of step times.
 	stepSmoothing = 0.3
-	// agingPerSecond is added to the rank of a queued call, so that none starves.
+	// agingPerSecond is added to the rank of a queued call each second, so that none starves.
 	agingPerSecond = 1.0
 	// cancellationTTL is how long a cancellation that arrived before its request is kept.
 	cancellationTTL = 30 * time.Second
@@ -49,7 +49,7 @@
 type waiter struct {
 	request  ReserveRequest
 	queuedAt time.Time
-	// granted is fired when the call gets a slot or is cancelled; hasSlot tells them apart.
+	// granted is fired when the call gets a slot or is cancelled; hasSlot is set only if it gets a slot.
 	granted clock.Signal
 	hasSlot bool
 }
@@ -252,7 +252,7 @@
 	return !found
 }
 
-// dropCancellations removes cancellations whose requests will not arrive any more.
+// dropCancellations removes expired cancellations, whose requests had ended before they arrived.
 func (e *engineState) dropCancellations(now time.Time) {
 	maps.DeleteFunc(e.cancelled, func(_ uint64, at time.Time) bool { return now.Sub(at) > cancellationTTL })
 }
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -28,7 +28,7 @@
 // minStepSamples is the number of known step times from which a median is computed.
 const minStepSamples = 3
 
-// setSlowness sets each candidate's step time as a multiple of the candidates' median.
+// setSlowness sets Slowness to the step time as a multiple of the candidates' median.
 func setSlowness(candidates []Candidate) {
 	var steps []int64
 	for index := range candidates {
@@ -49,7 +49,7 @@
 	}
 }
 
-// setOtherWaits sets each candidate's shortest wait among the other usable candidates.
+// setOtherWaits sets OtherWait to the shortest wait among the other candidates without a Reason.
 func setOtherWaits(candidates []Candidate) {
 	shortest, second := -1, -1
 	for index, candidate := range candidates {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -49,7 +49,7 @@
 }
 
 // patience returns how long the call may queue at a candidate before the next one is tried. If the policy fails, the call
-// does not queue there, and goes on.
+// does not queue there.
 func (s *Scheduler) patience(input *policy.Input, rules *policy.Policy, deadline time.Time) time.Duration {
 	seconds, err := rules.Patience(input)
 	if err != nil {
