--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -274,10 +274,10 @@
 	member := turnstore.Member{Name: "replica", Address: listener.Addr().String(), Zone: "a"}
 	s.replica = transport.New(transport.Options{Cluster: "test", NodeID: "replica", Address: member.Address, Logger: events.Discard()})
 	replica, err := turnstore.NewReplica(turnstore.ReplicaOptions{
-		Self: member, Folder: memoryFolder(s.t), FirstStart: true, Copies: 1, Retiring: func(string) bool { return false },
+		Self: member, Folder: memoryFolder(s.t), FirstStart: true, Copies: 1, IsRetiring: func(string) bool { return false },
 	}, s.replica, events.Discard())
 	assert.NilError(s.t, err)
-	set := turnstore.Set{Epoch: 1, Members: []turnstore.Member{member}, Copies: 1, Size: 1}
+	set := turnstore.ReplicaSet{Epoch: 1, Members: []turnstore.Member{member}, Copies: 1, Size: 1}
 	replica.ApplySet(set)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -96,7 +96,7 @@
 // peers lists the replicas, those of this zone first, then the seeds.
 func (n *Node) peers() []string {
 	var near, far []string
-	for _, member := range n.turns.Set().All() {
+	for _, member := range n.turns.ReplicaSet().All() {
 		if member.Zone == n.options.Zone {
 			near = append(near, member.Address)
 		} else {
@@ -125,7 +125,7 @@
 	case catalog.EngineKind:
 		n.registry.Apply(entry)
 	case catalog.ReplicaSetKind:
-		var set turnstore.Set
+		var set turnstore.ReplicaSet
 		if json.Unmarshal(entry.Value, &set) == nil {
 			n.turns.ApplySet(set)
 		}
@@ -164,7 +164,7 @@
 // Run learns until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.becomeReady(ctx)
-	go n.turns.WatchReach(ctx)
+	go n.turns.ProbeLostShards(ctx)
 	go n.options.Network.KeepRelays(ctx, n.peers)
 	n.catalog.Run(ctx)
 }
@@ -181,7 +181,7 @@
 		}
 	}
 	n.ready.Store(true)
-	n.options.Logger.Emit(events.NodeReady, events.F("version", n.table.Load().Version()), events.F("epoch", n.turns.Set().Epoch))
+	n.options.Logger.Emit(events.NodeReady, events.F("version", n.table.Load().Version()), events.F("epoch", n.turns.ReplicaSet().Epoch))
 }
 
 func (n *Node) canServe(ctx context.Context) bool {
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -19,14 +19,14 @@
 // reservation is the opening of a turn. Its fields may be read once done is closed.
 type reservation struct {
 	done   chan struct{}
-	opened *turnstore.Opened
+	opened *turnstore.OpenedTurn
 	err    error
 	// took is how long the opening was under way.
 	took time.Duration
 }
 
 // reserve begins to open a turn. If that fails, stop is called with the failure before anybody learns of it.
-func (r *request) reserve(ctx context.Context, opening turnstore.Opening, stop context.CancelCauseFunc) *reservation {
+func (r *request) reserve(ctx context.Context, opening turnstore.OpenParams, stop context.CancelCauseFunc) *reservation {
 	begun := &reservation{done: make(chan struct{})}
 	startedAt := time.Now()
 	go func() {
@@ -47,7 +47,7 @@
 	if r.route.Kind() != routing.Stream || (r.caller.Budget == NoBudget && !r.route.Kept()) {
 		return nil
 	}
-	opening := turnstore.Opening{
+	opening := turnstore.OpenParams{
 		Turn: r.caller.ID, Program: r.caller.Program, Budget: r.caller.Budget, Most: r.caller.Most,
 	}
 	if r.route.Kept() {
@@ -71,7 +71,7 @@
 // an opening has met too few replicas, it would most likely run in vain: on 57 gateways, 526 turns did so in a second
 // in which two of four replicas were lost.
 func (r *request) mayRunAhead() bool {
-	return r.route.Repeatable() && !r.route.Kept() && r.server.options.Turns.Steady(r.caller.Program)
+	return r.route.Repeatable() && !r.route.Kept() && r.server.options.Turns.ShardHealthy(r.caller.Program)
 }
 
 // awaitReservation waits until the turn is opened or can't be. The opening ends with the request's context at the
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -114,7 +114,7 @@
 	body      []byte
 	// reservation is the opening of the turn, which may still be under way while it runs; nil for calls that need none.
 	reservation *reservation
-	opened      *turnstore.Opened
+	opened      *turnstore.OpenedTurn
 	// ahead tells that the turn runs beside its reservation.
 	ahead bool
 
--- a/internal/turnstore/ask_test.go
+++ b/internal/turnstore/ask_test.go
@@ -54,7 +54,7 @@
 	client := NewClient(ClientOptions{CacheBytes: 1 << 20}, network, events.Discard())
 	client.ApplySet(c.store.set())
 	startedAt := time.Now()
-	opened, err := client.Open(context.Background(), Opening{Turn: "b", Program: "p", Previous: "a", Budget: 10, Most: 5})
+	opened, err := client.Open(context.Background(), OpenParams{Turn: "b", Program: "p", Previous: "a", Budget: 10, Most: 5})
 	assert.NilError(t, err)
 	assert.Equal(t, string(opened.Prefix), "a;")
 	assert.Assert(t, time.Since(startedAt) < openTimeout)
--- a/internal/turnstore/assignment.go
+++ b/internal/turnstore/assignment.go
@@ -35,12 +35,12 @@
 
 // restoreShard takes up the shard that the folder names.
 func (r *Replica) restoreShard(record folderRecord) {
-	if record.Set.Epoch == 0 {
+	if record.ReplicaSet.Epoch == 0 {
 		return
 	}
-	r.sets.apply(record.Set)
-	r.set = record.Set
-	r.shard = record.Set.Shard
+	r.sets.apply(record.ReplicaSet)
+	r.set = record.ReplicaSet
+	r.shard = record.ReplicaSet.Shard
 }
 
 // takeFirstShard chooses a shard for a replica that has none: the one that has it as a member, or else any, so that spares
@@ -84,9 +84,9 @@
 }
 
 // shardInNeed returns another shard that lacks a member, once it is this spare's turn to go there.
-func (r *Replica) shardInNeed(own Set) (Set, bool) {
+func (r *Replica) shardInNeed(own ReplicaSet) (ReplicaSet, bool) {
 	if r.lacksMember(own) {
-		return Set{}, false
+		return ReplicaSet{}, false
 	}
 	for _, set := range r.otherSets(own.Shard) {
 		if !r.lacksMember(set) || !r.hearsEnough(set) || r.isFollowed(set) {
@@ -98,11 +98,11 @@
 		}
 		return set, now.After(r.need.moveAt)
 	}
-	return Set{}, false
+	return ReplicaSet{}, false
 }
 
 // lacksMember tells whether a spare is to take a place in a set.
-func (r *Replica) lacksMember(set Set) bool {
+func (r *Replica) lacksMember(set ReplicaSet) bool {
 	if set.Changing() {
 		return false
 	}
@@ -110,7 +110,7 @@
 }
 
 // isFollowed tells whether a member has said that another spare pulls from it.
-func (r *Replica) isFollowed(set Set) bool {
+func (r *Replica) isFollowed(set ReplicaSet) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, member := range set.Members {
@@ -122,7 +122,7 @@
 }
 
 // moveTo makes this replica hold another shard. It holds nothing of it at first, and nothing of the old one any more.
-func (r *Replica) moveTo(set Set) error {
+func (r *Replica) moveTo(set ReplicaSet) error {
 	if err := r.folder.saveShard(set); err != nil {
 		return errors.Wrapf(err, "moving to shard %d", set.Shard)
 	}
@@ -151,10 +151,10 @@
 }
 
 // otherSets are the sets of all shards but one.
-func (r *Replica) otherSets(shard int) []Set {
+func (r *Replica) otherSets(shard int) []ReplicaSet {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var others []Set
+	var others []ReplicaSet
 	for _, set := range r.sets.all() {
 		if set.Shard != shard {
 			others = append(others, set)
@@ -187,13 +187,13 @@
 		if r.isMember() {
 			continue
 		}
-		for _, set := range r.otherSets(r.Set().Shard) {
+		for _, set := range r.otherSets(r.ReplicaSet().Shard) {
 			r.watchMembers(ctx, &tasks, set)
 		}
 	}
 }
 
-func (r *Replica) watchMembers(ctx context.Context, tasks *sync.WaitGroup, set Set) {
+func (r *Replica) watchMembers(ctx context.Context, tasks *sync.WaitGroup, set ReplicaSet) {
 	for _, member := range set.All() {
 		progress := r.progressOf(member)
 		if !r.setAsking(progress, true) {
--- a/internal/turnstore/client.go
+++ b/internal/turnstore/client.go
@@ -54,8 +54,8 @@
 	Take(now time.Time, others load.Sheet)
 }
 
-// Opening is what must be known before a turn is sent to an engine.
-type Opening struct {
+// OpenParams is what must be known before a turn is sent to an engine.
+type OpenParams struct {
 	Turn     string
 	Program  string
 	Previous string
@@ -65,8 +65,8 @@
 	Most int64
 }
 
-// Opened is a turn that may be sent.
-type Opened struct {
+// OpenedTurn is a turn that may be sent.
+type OpenedTurn struct {
 	// Prefix is the text of all turns before this one.
 	Prefix []byte
 	// Engine generated the turn before this one, or ran another turn of the program; empty if none is known.
@@ -84,7 +84,7 @@
 
 // Inherited are records to write along with the turn: the turns before it, if a program of another shard had them. So the
 // turns before any turn lie in its shard, and are read there at once.
-func (o *Opened) Inherited() []conversation.Record {
+func (o *OpenedTurn) Inherited() []conversation.Record {
 	if !o.inherited {
 		return nil
 	}
@@ -97,7 +97,7 @@
 
 // Settled is the record of what the turn generated in the end, in tokens, and of the engine where it ran; that is
 // empty if it didn't.
-func (o *Opened) Settled(tokens int64, engine string) conversation.Record {
+func (o *OpenedTurn) Settled(tokens int64, engine string) conversation.Record {
 	return conversation.Record{Charge: &conversation.Charge{Program: o.program, Turn: o.charge, Tokens: tokens, Settled: true, Engine: engine}}
 }
 
@@ -128,7 +128,7 @@
 }
 
 // ApplySet takes a set from the catalog or a replica; older ones are ignored.
-func (c *Client) ApplySet(set Set) {
+func (c *Client) ApplySet(set ReplicaSet) {
 	c.mutex.Lock()
 	knewAll := c.sets.whole()
 	newer := c.sets.apply(set)
@@ -141,17 +141,17 @@
 	}
 }
 
-// Set returns the newest known replica set of the first shard, whose members follow the store for all.
-func (c *Client) Set() Set { return c.setOf(0) }
+// ReplicaSet returns the newest known replica set of the first shard, whose members follow the store for all.
+func (c *Client) ReplicaSet() ReplicaSet { return c.setOf(0) }
 
-func (c *Client) setOf(shard int) Set {
+func (c *Client) setOf(shard int) ReplicaSet {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.sets[shard]
 }
 
 // allSets returns the sets of all shards, or nothing while some are not known.
-func (c *Client) allSets() []Set {
+func (c *Client) allSets() []ReplicaSet {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.sets.whole() {
@@ -168,7 +168,7 @@
 }
 
 // Copies is one more than the number of disks that may be lost at once; 0 while no replica set is known.
-func (c *Client) Copies() int { return c.Set().Copies }
+func (c *Client) Copies() int { return c.ReplicaSet().Copies }
 
 // Ready asks the replicas whether enough of them answer in half of the shards. If a shard is lost for long, gateways must
 // not stay away from the callers of the others, be it one of two.
@@ -197,7 +197,7 @@
 func suffices(part, shards int) bool { return 2*part >= shards }
 
 // readable asks the replicas of a shard whether enough of them answer.
-func (c *Client) readable(ctx context.Context, set Set) bool {
+func (c *Client) readable(ctx context.Context, set ReplicaSet) bool {
 	askContext, stop := context.WithCancel(ctx)
 	defer stop()
 	gathering := newGathering(set)
@@ -219,7 +219,7 @@
 
 // Open reserves the turn's tokens and finds the text before it. The error is an apierr.Error with
 // the outcome NotRun: BudgetExceeded, NoSuchTurn or TurnsUnavailable.
-func (c *Client) Open(ctx context.Context, opening Opening) (*Opened, error) {
+func (c *Client) Open(ctx context.Context, opening OpenParams) (*OpenedTurn, error) {
 	startedAt := time.Now()
 	shard, err := c.awaitShard(ctx, opening.Program)
 	if err != nil {
@@ -232,7 +232,7 @@
 	// The wait for the replica sets counts: a caller that is refused in the end is not to be held twice as long.
 	openContext, cancel := context.WithDeadline(ctx, startedAt.Add(timeout))
 	defer cancel()
-	opened := &Opened{
+	opened := &OpenedTurn{
 		Reserved: opening.Budget >= 0 && opening.Program != "",
 		program:  opening.Program,
 		charge:   strconv.FormatUint(rand.Uint64()>>(64-chargeNameBits), 36),
@@ -283,7 +283,7 @@
 }
 
 // use takes the turns before the one that is opened. Those that lie in another shard are written again with it.
-func (c *Client) use(opened *Opened, chain []conversation.Turn, shard int) {
+func (c *Client) use(opened *OpenedTurn, chain []conversation.Turn, shard int) {
 	opened.use(chain)
 	if len(chain) == 0 {
 		return
@@ -292,7 +292,7 @@
 	opened.inherited = home != shard
 }
 
-func (o *Opened) use(chain []conversation.Turn) {
+func (o *OpenedTurn) use(chain []conversation.Turn) {
 	o.chain = chain
 	size := 0
 	for _, turn := range chain {
@@ -306,7 +306,7 @@
 }
 
 // openAtReplicas tries again with the newer set when a replica knows one.
-func (c *Client) openAtReplicas(ctx context.Context, shard int, opening Opening, opened *Opened, wantText bool) error {
+func (c *Client) openAtReplicas(ctx context.Context, shard int, opening OpenParams, opened *OpenedTurn, wantText bool) error {
 	for {
 		set := c.setOf(shard)
 		newer, err := c.openOnce(ctx, set, opening, opened, wantText)
@@ -317,7 +317,7 @@
 	}
 }
 
-func (c *Client) openOnce(ctx context.Context, set Set, opening Opening, opened *Opened, wantText bool) (*Set, error) {
+func (c *Client) openOnce(ctx context.Context, set ReplicaSet, opening OpenParams, opened *OpenedTurn, wantText bool) (*ReplicaSet, error) {
 	request := openRequest{Shard: set.Shard, Epoch: set.Epoch}
 	if wantText {
 		request.Previous = opening.Previous
@@ -373,7 +373,7 @@
 }
 
 // askForText asks all replicas, but only the nearest one for the text.
-func (c *Client) askForText(ctx context.Context, set Set, request openRequest) chan replicaAnswer {
+func (c *Client) askForText(ctx context.Context, set ReplicaSet, request openRequest) chan replicaAnswer {
 	answers := make(chan replicaAnswer, answersQueued)
 	report := c.loadReport()
 	nearest := c.nearest(set)
@@ -387,7 +387,7 @@
 	return answers
 }
 
-func (c *Client) askOthersForText(ctx context.Context, set Set, previous string, answers chan replicaAnswer) {
+func (c *Client) askOthersForText(ctx context.Context, set ReplicaSet, previous string, answers chan replicaAnswer) {
 	request := openRequest{Shard: set.Shard, Epoch: set.Epoch, Previous: previous, WithText: true}
 	nearest := c.nearest(set)
 	for _, member := range set.All() {
@@ -397,7 +397,7 @@
 	}
 }
 
-func (c *Client) nearest(set Set) string {
+func (c *Client) nearest(set ReplicaSet) string {
 	all := set.All()
 	for _, member := range all {
 		if member.Zone == c.options.Zone {
@@ -414,7 +414,7 @@
 }
 
 // askAll yields the answers of all replicas until the context ends.
-func (c *Client) askAll(ctx context.Context, set Set, request openRequest) func(yield func(replicaAnswer) bool) {
+func (c *Client) askAll(ctx context.Context, set ReplicaSet, request openRequest) func(yield func(replicaAnswer) bool) {
 	answers := make(chan replicaAnswer, answersQueued)
 	members := set.All()
 	for _, member := range members {
--- a/internal/turnstore/cluster_test.go
+++ b/internal/turnstore/cluster_test.go
@@ -35,7 +35,7 @@
 	entries  map[string]configstore.Entry
 	revision int64
 	down     bool
-	onSet    []func(Set)
+	onSet    []func(ReplicaSet)
 	// onCandidate are told of each replica that starts with the system.
 	onCandidate []func(Member)
 	// swaps counts the changes that were tried.
@@ -89,19 +89,19 @@
 	s.down = down
 }
 
-func (s *memoryStore) set() Set { return s.setOf(0) }
+func (s *memoryStore) set() ReplicaSet { return s.setOf(0) }
 
-func (s *memoryStore) setOf(shard int) Set {
+func (s *memoryStore) setOf(shard int) ReplicaSet {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var set Set
+	var set ReplicaSet
 	_ = json.Unmarshal(s.entries[setKey(testSetKey, shard)].Value, &set)
 	return set
 }
 
 // sets returns the sets of all shards.
-func (s *memoryStore) sets() []Set {
-	all := []Set{s.setOf(0)}
+func (s *memoryStore) sets() []ReplicaSet {
+	all := []ReplicaSet{s.setOf(0)}
 	for shard := 1; shard < all[0].Shards; shard++ {
 		all = append(all, s.setOf(shard))
 	}
@@ -153,7 +153,7 @@
 	}
 }
 
-func (s *memoryStore) listen(listener func(Set)) {
+func (s *memoryStore) listen(listener func(ReplicaSet)) {
 	s.mutex.Lock()
 	s.onSet = append(s.onSet, listener)
 	s.mutex.Unlock()
@@ -313,8 +313,8 @@
 	replica, err := NewReplica(ReplicaOptions{
 		Self: Member{Name: m.name, Address: m.address, Zone: m.zone}, Folder: m.folder, FirstStart: !c.started, Copies: 2, Size: c.size,
 		TextBytes: testTextBytes,
-		Store:     c.store, SetKey: testSetKey, CandidatesKey: testCandidatesKey, Retiring: c.isRetiring,
-		Retired: func(_ context.Context, done bool) error {
+		Store:     c.store, SetKey: testSetKey, CandidatesKey: testCandidatesKey, IsRetiring: c.isRetiring,
+		ReportRetirement: func(_ context.Context, done bool) error {
 			m.retired.Store(done)
 			return nil
 		},
@@ -378,10 +378,10 @@
 }
 
 // read opens a turn after previous through a client without a cache.
-func (c *cluster) read(previous string) (*Opened, error) {
+func (c *cluster) read(previous string) (*OpenedTurn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return c.newClient().Open(ctx, Opening{Turn: "next", Previous: previous, Budget: -1})
+	return c.newClient().Open(ctx, OpenParams{Turn: "next", Previous: previous, Budget: -1})
 }
 
 func (c *cluster) reserve(client *Client, turn string, budget, most int64) error {
@@ -389,10 +389,10 @@
 	return err
 }
 
-func (c *cluster) open(client *Client, turn string, budget, most int64) (*Opened, error) {
+func (c *cluster) open(client *Client, turn string, budget, most int64) (*OpenedTurn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return client.Open(ctx, Opening{Turn: turn, Program: "program", Budget: budget, Most: most})
+	return client.Open(ctx, OpenParams{Turn: turn, Program: "program", Budget: budget, Most: most})
 }
 
 func (m *machine) complete() bool { return m.process.replica.folder.record().Complete }
--- a/internal/turnstore/folder.go
+++ b/internal/turnstore/folder.go
@@ -24,9 +24,9 @@
 	Identity string `json:"identity"`
 	// Complete means that what this replica doesn't know was never written, or is with others.
 	Complete bool `json:"complete"`
-	// Assigned tells that the replica holds the shard of Set.
-	Assigned bool `json:"assigned,omitempty"`
-	Set      Set  `json:"set"`
+	// Assigned tells that the replica holds the shard of ReplicaSet.
+	Assigned   bool       `json:"assigned,omitempty"`
+	ReplicaSet ReplicaSet `json:"set"`
 }
 
 // folder is the data folder of a replica.
@@ -64,32 +64,32 @@
 	return f.stored
 }
 
-func (f *folder) saveSet(set Set) error {
+func (f *folder) saveSet(set ReplicaSet) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.stored.Set.Epoch > 0 && set.Shard != f.stored.Set.Shard {
+	if f.stored.ReplicaSet.Epoch > 0 && set.Shard != f.stored.ReplicaSet.Shard {
 		return errors.WithStack(errOtherShard{})
 	}
-	if set.Epoch <= f.stored.Set.Epoch {
+	if set.Epoch <= f.stored.ReplicaSet.Epoch {
 		return nil
 	}
-	before := f.stored.Set
-	f.stored.Set = set
+	before := f.stored.ReplicaSet
+	f.stored.ReplicaSet = set
 	if err := f.save(); err != nil {
-		f.stored.Set = before
+		f.stored.ReplicaSet = before
 		return err
 	}
 	return nil
 }
 
 // saveShard notes that the replica holds a shard from now on. If it held another one, it is not complete any more.
-func (f *folder) saveShard(set Set) error {
+func (f *folder) saveShard(set ReplicaSet) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	before := f.stored
-	f.stored.Complete = before.Complete && (!before.Assigned || before.Set.Shard == set.Shard)
+	f.stored.Complete = before.Complete && (!before.Assigned || before.ReplicaSet.Shard == set.Shard)
 	f.stored.Assigned = true
-	f.stored.Set = set
+	f.stored.ReplicaSet = set
 	if err := f.save(); err != nil {
 		f.stored = before
 		return err
--- a/internal/turnstore/gathering.go
+++ b/internal/turnstore/gathering.go
@@ -8,8 +8,8 @@
 // gathering collects the answers of replicas to one opening until they allow a decision. It is
 // not safe for concurrent use.
 type gathering struct {
-	set      Set
-	newer    *Set
+	set      ReplicaSet
+	newer    *ReplicaSet
 	answered map[string]bool
 	complete map[string]bool
 	// reserved have synced the reservation; reservedComplete of them are complete, so that their charges
@@ -25,7 +25,7 @@
 	engine string
 }
 
-func newGathering(set Set) *gathering {
+func newGathering(set ReplicaSet) *gathering {
 	return &gathering{
 		set:      set,
 		answered: make(map[string]bool),
@@ -98,7 +98,7 @@
 }
 
 // decide reports whether the answers are enough, and then fills opened but for the turns before, or returns the refusal.
-func (g *gathering) decide(opening Opening, opened *Opened, wantText bool) (bool, error) {
+func (g *gathering) decide(opening OpenParams, opened *OpenedTurn, wantText bool) (bool, error) {
 	if opened.Reserved && !(g.set.Written(g.reserved) && g.set.Read(g.reservedComplete)) {
 		return false, nil
 	}
--- a/internal/turnstore/gathering_test.go
+++ b/internal/turnstore/gathering_test.go
@@ -13,9 +13,9 @@
 // reservation nor shows charges, and must not count for either.
 func TestAnswerWithoutReservationDoesNotCountForTheBudget(t *testing.T) {
 	members := []Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}
-	gathered := newGathering(Set{Epoch: 1, Members: members, Copies: 2})
-	opening := Opening{Turn: "t2", Program: "p", Previous: "t1", Budget: 100, Most: 60}
-	opened := &Opened{Reserved: true}
+	gathered := newGathering(ReplicaSet{Epoch: 1, Members: members, Copies: 2})
+	opening := OpenParams{Turn: "t2", Program: "p", Previous: "t1", Budget: 100, Most: 60}
+	opened := &OpenedTurn{Reserved: true}
 	text := openAnswer{Complete: true, Known: true, Chain: []conversation.Turn{{ID: "t1", Text: []byte("x")}}}
 	gathered.add(replicaAnswer{member: members[0], reserving: true, answer: openAnswer{Complete: true, Known: true}})
 	gathered.add(replicaAnswer{member: members[1], answer: text})
--- a/internal/turnstore/loadnews.go
+++ b/internal/turnstore/loadnews.go
@@ -32,7 +32,7 @@
 	if c.options.Load == nil || !c.loadPacer.Due(time.Now()) {
 		return loadReport{}
 	}
-	set := c.Set()
+	set := c.ReplicaSet()
 	sheet := c.options.Load.Report()
 	report := loadReport{gateway: c.network.NodeID(), sheet: &sheet, epoch: set.Epoch}
 	for _, member := range set.All() {
@@ -55,7 +55,7 @@
 }
 
 // tellLoad sends a report to the hearers that an opening at the members of a set does not reach.
-func (c *Client) tellLoad(report loadReport, set Set) {
+func (c *Client) tellLoad(report loadReport, set ReplicaSet) {
 	for _, hearer := range report.hearers {
 		if set.Has(hearer.Name) {
 			continue
--- a/internal/turnstore/loadnews_test.go
+++ b/internal/turnstore/loadnews_test.go
@@ -101,7 +101,7 @@
 		return one.heardOf("engi") == 7
 	})
 	for _, m := range c.machines {
-		if m.name == first.nearest(first.Set()) {
+		if m.name == first.nearest(first.ReplicaSet()) {
 			c.kill(m)
 		}
 	}
@@ -120,7 +120,7 @@
 	first, second := c.newClientWith("first", one), c.newClientWith("second", two)
 	eventually(t, "both have heard", func() bool {
 		for shard, client := range []*Client{first, second} {
-			opened, err := client.Open(t.Context(), Opening{Turn: "next", Program: programIn(shard, 2), Budget: 1 << 40, Most: 1})
+			opened, err := client.Open(t.Context(), OpenParams{Turn: "next", Program: programIn(shard, 2), Budget: 1 << 40, Most: 1})
 			assert.NilError(t, err)
 			client.Settle(opened, 1, "")
 		}
--- a/internal/turnstore/membership.go
+++ b/internal/turnstore/membership.go
@@ -58,21 +58,21 @@
 		case <-ticker.C:
 		}
 		if err := r.membershipStep(ctx, start); err != nil {
-			r.logger.Emit(events.ReplicaSetStep, events.F("error", err), events.F("epoch", r.Set().Epoch))
+			r.logger.Emit(events.ReplicaSetStep, events.F("error", err), events.F("epoch", r.ReplicaSet().Epoch))
 		}
 	}
 }
 
 func (r *Replica) membershipStep(ctx context.Context, start *bootstrapState) error {
 	self := r.options.Self.Name
-	retiring := r.options.Retiring(self)
+	retiring := r.options.IsRetiring(self)
 	for _, set := range r.otherSets(noShard) {
 		r.noteTouch(set)
 	}
 	if err := r.keepShard(retiring); err != nil {
 		r.logger.Emit(events.ReplicaLogFailed, events.F("error", err))
 	}
-	set := r.Set()
+	set := r.ReplicaSet()
 	if !retiring {
 		r.takePartAgain()
 	}
@@ -176,7 +176,7 @@
 // join makes this replica a member once it has everything: in the place of a silent member or of one that is to be
 // emptied, or to fill the set. Without the second, the set had a member less between the leaving and the joining, and two
 // losses that five members bear stopped all turns.
-func (r *Replica) join(ctx context.Context, set Set, startedAt time.Time) error {
+func (r *Replica) join(ctx context.Context, set ReplicaSet, startedAt time.Time) error {
 	r.mutex.Lock()
 	ready := r.pulledEnough(startedAt)
 	r.mutex.Unlock()
@@ -205,7 +205,7 @@
 // retiringMember returns a member that is to be emptied.
 func (r *Replica) retiringMember(members []Member) string {
 	for _, member := range members {
-		if r.options.Retiring(member.Name) {
+		if r.options.IsRetiring(member.Name) {
 			return member.Name
 		}
 	}
@@ -214,7 +214,7 @@
 
 // finishJoin brings a change of ours to its end: no replica takes part in the old epoch any more,
 // then what was written in it is pulled, then the new set stands alone.
-func (r *Replica) finishJoin(ctx context.Context, joint Set) error {
+func (r *Replica) finishJoin(ctx context.Context, joint ReplicaSet) error {
 	if !r.fence(ctx, joint) {
 		return nil
 	}
@@ -232,7 +232,7 @@
 	return r.replaceSet(ctx, joint, finished(joint))
 }
 
-func finished(joint Set) Set {
+func finished(joint ReplicaSet) ReplicaSet {
 	final := joint
 	final.Epoch++
 	final.Members = joint.Next
@@ -242,14 +242,14 @@
 }
 
 // fence makes so many members know the set that no write of an older epoch can succeed.
-func (r *Replica) fence(ctx context.Context, set Set) bool {
+func (r *Replica) fence(ctx context.Context, set ReplicaSet) bool {
 	fenced := map[string]bool{}
 	if r.folder.saveSet(set) == nil {
 		fenced[r.options.Self.Name] = true
 	}
 	for _, member := range without(set.All(), r.options.Self.Name) {
 		callContext, cancel := context.WithTimeout(ctx, fenceTimeout)
-		answer, err := transport.Call[fenceAnswer](callContext, r.network, member.Address, fenceKind, fenceRequest{Set: set})
+		answer, err := transport.Call[fenceAnswer](callContext, r.network, member.Address, fenceKind, fenceRequest{ReplicaSet: set})
 		cancel()
 		if err == nil && answer.Epoch >= set.Epoch {
 			fenced[member.Name] = true
@@ -260,7 +260,7 @@
 
 // takeBack ends a change whose replica has gone silent; what was written meanwhile counts in the
 // old set, too.
-func (r *Replica) takeBack(ctx context.Context, set Set) error {
+func (r *Replica) takeBack(ctx context.Context, set ReplicaSet) error {
 	r.mutex.Lock()
 	silent := r.silent(set.ChangedBy)
 	r.mutex.Unlock()
@@ -271,7 +271,7 @@
 }
 
 // takenBack is the set without the change that is under way.
-func takenBack(joint Set) Set {
+func takenBack(joint ReplicaSet) ReplicaSet {
 	old := joint
 	old.Epoch++
 	old.Next = nil
@@ -279,7 +279,7 @@
 	return old
 }
 
-func (r *Replica) addressChanged(set Set) bool {
+func (r *Replica) addressChanged(set ReplicaSet) bool {
 	for _, member := range set.Members {
 		if member.Name == r.options.Self.Name {
 			return member.Address != r.options.Self.Address
@@ -288,7 +288,7 @@
 	return false
 }
 
-func (r *Replica) updateAddress(ctx context.Context, set Set) error {
+func (r *Replica) updateAddress(ctx context.Context, set ReplicaSet) error {
 	next := set
 	next.Epoch++
 	next.Members = append(without(set.Members, r.options.Self.Name), r.options.Self)
@@ -298,7 +298,7 @@
 // noteTouch keeps since when this replica has heard enough members. A replica for which others are silent may be
 // the one that is cut off, while it still reaches the store, or one whose ways are just coming back, one by
 // one. It must not take anybody's place then.
-func (r *Replica) noteTouch(set Set) {
+func (r *Replica) noteTouch(set ReplicaSet) {
 	switch {
 	case !r.hearsEnough(set):
 		delete(r.inTouchSince, set.Shard)
@@ -308,7 +308,7 @@
 }
 
 // inTouchFor is for how long this replica has heard enough members of a set; 0 if it does not.
-func (r *Replica) inTouchFor(set Set) time.Duration {
+func (r *Replica) inTouchFor(set ReplicaSet) time.Duration {
 	since := r.inTouchSince[set.Shard]
 	if since.IsZero() {
 		return 0
@@ -317,7 +317,7 @@
 }
 
 // hearsEnough tells whether so many members were heard of late that a read would succeed.
-func (r *Replica) hearsEnough(set Set) bool {
+func (r *Replica) hearsEnough(set ReplicaSet) bool {
 	heard := map[string]bool{r.options.Self.Name: true}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -369,13 +369,13 @@
 }
 
 // replaceSet writes a set if the store still has the one that it follows.
-func (r *Replica) replaceSet(ctx context.Context, old, next Set) error {
+func (r *Replica) replaceSet(ctx context.Context, old, next ReplicaSet) error {
 	key := setKey(r.options.SetKey, old.Shard)
 	entry, err := r.get(ctx, key)
 	if err != nil {
 		return err
 	}
-	var stored Set
+	var stored ReplicaSet
 	if err := json.Unmarshal(entry.Value, &stored); err != nil {
 		return errors.Wrap(err, "replica set")
 	}
--- a/internal/turnstore/messages.go
+++ b/internal/turnstore/messages.go
@@ -33,7 +33,7 @@
 
 type openAnswer struct {
 	// Newer is set instead of all else if the request's epoch is old.
-	Newer *Set `json:"n,omitempty"`
+	Newer *ReplicaSet `json:"n,omitempty"`
 	// Complete tells whether what the replica doesn't know may be counted.
 	Complete bool                     `json:"c,omitempty"`
 	Charges  conversation.ChargeSheet `json:"q,omitempty"`
@@ -52,7 +52,7 @@
 }
 
 type putAnswer struct {
-	Newer *Set `json:"n,omitempty"`
+	Newer *ReplicaSet `json:"n,omitempty"`
 }
 
 type digestRequest struct {
@@ -73,8 +73,8 @@
 	Complete bool               `json:"c,omitempty"`
 	// Followed tells that a spare, another one than the asker, pulls from this replica.
 	Followed bool `json:"f,omitempty"`
-	// Set is the newest set that the replica knows.
-	Set *Set `json:"n,omitempty"`
+	// ReplicaSet is the newest set that the replica knows.
+	ReplicaSet *ReplicaSet `json:"n,omitempty"`
 }
 
 type fetchRequest struct {
@@ -86,7 +86,7 @@
 }
 
 type fenceRequest struct {
-	Set Set `json:"s"`
+	ReplicaSet ReplicaSet `json:"s"`
 }
 
 type fenceAnswer struct {
--- a/internal/turnstore/metrics.go
+++ b/internal/turnstore/metrics.go
@@ -44,7 +44,7 @@
 	gauge("mountstile_replica_turns", "Turns that the replica holds.", func() float64 { return float64(replica.size().turns) })
 	gauge("mountstile_replica_programs", "Programs whose charges the replica holds.", func() float64 { return float64(replica.size().programs) })
 	gauge("mountstile_replica_text_bytes", "Bytes of the texts of turns, on disk or in memory.", func() float64 { return float64(replica.texts.size()) })
-	gauge("mountstile_replica_set_epoch", "Epoch of the newest replica set that is known.", func() float64 { return float64(replica.Set().Epoch) })
+	gauge("mountstile_replica_set_epoch", "Epoch of the newest replica set that is known.", func() float64 { return float64(replica.ReplicaSet().Epoch) })
 	gauge("mountstile_replica_shard", "Shard whose turns the replica holds; -1 while it knows none.", func() float64 { return float64(replica.shardNumber()) })
 	gauge("mountstile_replica_complete", "1 if the replica has everything that its peers have.", func() float64 {
 		if replica.folder.record().Complete {
--- a/internal/turnstore/node.go
+++ b/internal/turnstore/node.go
@@ -32,7 +32,7 @@
 // NewNode reads the replica's folder.
 func NewNode(options NodeOptions) (*Node, error) {
 	node := &Node{options: options}
-	options.Replica.Retiring = func(name string) bool {
+	options.Replica.IsRetiring = func(name string) bool {
 		_, found := node.catalog.Get(catalog.Key(catalog.RetirementKind, name))
 		return found
 	}
@@ -84,7 +84,7 @@
 func (n *Node) apply(entry catalog.Entry) {
 	switch kind, _ := catalog.SplitKey(entry.Key); kind {
 	case catalog.ReplicaSetKind:
-		var set Set
+		var set ReplicaSet
 		if json.Unmarshal(entry.Value, &set) == nil && set.Epoch > 0 {
 			n.replica.ApplySet(set)
 		}
--- a/internal/turnstore/othershards.go
+++ b/internal/turnstore/othershards.go
@@ -15,7 +15,7 @@
 
 // openFromOtherShard finds the turns before an opened one where other programs have them: a new program may go on from
 // a turn of an older one. Its reservation stands already. "No such turn" needs the certainty of all shards.
-func (c *Client) openFromOtherShard(ctx context.Context, shard int, opening Opening, opened *Opened) error {
+func (c *Client) openFromOtherShard(ctx context.Context, shard int, opening OpenParams, opened *OpenedTurn) error {
 	askContext, stop := context.WithCancel(ctx)
 	defer stop()
 	others := c.allSets()
@@ -44,7 +44,7 @@
 
 // chainIn reads a turn and those before it from one shard. The error is a NoSuchTurn or a TurnsUnavailable.
 func (c *Client) chainIn(ctx context.Context, shard int, previous string) foundChain {
-	var read Opened
-	err := c.openAtReplicas(ctx, shard, Opening{Previous: previous, Budget: -1}, &read, true)
+	var read OpenedTurn
+	err := c.openAtReplicas(ctx, shard, OpenParams{Previous: previous, Budget: -1}, &read, true)
 	return foundChain{turns: read.chain, err: err}
 }
--- a/internal/turnstore/pull.go
+++ b/internal/turnstore/pull.go
@@ -69,14 +69,14 @@
 	if !r.folder.record().Complete {
 		return true
 	}
-	set := r.Set()
+	set := r.ReplicaSet()
 	if set.Has(r.options.Self.Name) {
 		return false
 	}
 	return len(set.Members) < set.Size || r.silentMember(set.Members) != "" || r.retiringMember(set.Members) != ""
 }
 
-func (r *Replica) others() []Member { return without(r.Set().All(), r.options.Self.Name) }
+func (r *Replica) others() []Member { return without(r.ReplicaSet().All(), r.options.Self.Name) }
 
 // pullAll pulls from all others and returns when all have answered or failed.
 func (r *Replica) pullAll(ctx context.Context) {
@@ -99,7 +99,7 @@
 		return
 	}
 	source := r.source(others, round)
-	shard := r.Set().Shard
+	shard := r.ReplicaSet().Shard
 	for _, member := range others {
 		progress := r.progressOf(member)
 		if !r.setAsking(progress, true) {
@@ -130,7 +130,7 @@
 // source is the one to pull from. A member takes the others in turn, for each has nearly everything anyway;
 // a spare takes the nearest one, which costs no traffic between zones.
 func (r *Replica) source(others []Member, round int) Member {
-	if r.Set().Has(r.options.Self.Name) {
+	if r.ReplicaSet().Has(r.options.Self.Name) {
 		return others[round%len(others)]
 	}
 	return r.nearest(others)
@@ -155,14 +155,14 @@
 	if err != nil {
 		return
 	}
-	if answer.Set != nil {
-		r.ApplySet(*answer.Set)
+	if answer.ReplicaSet != nil {
+		r.ApplySet(*answer.ReplicaSet)
 	}
 }
 
 // pullFrom fetches what the peer has and this replica has not.
 func (r *Replica) pullFrom(ctx context.Context, member Member) {
-	shard := r.Set().Shard
+	shard := r.ReplicaSet().Shard
 	progress := r.progressOf(member)
 	for ctx.Err() == nil {
 		asked := time.Now()
@@ -170,8 +170,8 @@
 		if err != nil {
 			return
 		}
-		if answer.Set != nil {
-			r.ApplySet(*answer.Set)
+		if answer.ReplicaSet != nil {
+			r.ApplySet(*answer.ReplicaSet)
 		}
 		if !r.fetch(ctx, member, progress, r.missing(answer.Keys)) {
 			return
--- a/internal/turnstore/put.go
+++ b/internal/turnstore/put.go
@@ -43,7 +43,7 @@
 
 // offer sends records to the replicas that have not taken them yet. The call goes on at the others
 // after enough have answered.
-func (c *Client) offer(ctx context.Context, set Set, records []conversation.Record, synced map[string]bool) bool {
+func (c *Client) offer(ctx context.Context, set ReplicaSet, records []conversation.Record, synced map[string]bool) bool {
 	var asked []Member
 	for _, member := range set.All() {
 		if !synced[member.Name] {
@@ -83,7 +83,7 @@
 
 // Settle tells, in the background, what a turn generated in the end, and where. If that fails, the turn counts
 // at its most.
-func (c *Client) Settle(opened *Opened, tokens int64, engine string) {
+func (c *Client) Settle(opened *OpenedTurn, tokens int64, engine string) {
 	c.mutex.Lock()
 	if c.settling >= maximalSettling {
 		c.mutex.Unlock()
--- a/internal/turnstore/random_test.go
+++ b/internal/turnstore/random_test.go
@@ -105,7 +105,7 @@
 		}
 		id := fmt.Sprintf("w%d-%d", writer, number)
 		program := fmt.Sprintf("program %d", number/10)
-		opened, err := client.Open(ctx, Opening{Turn: id, Program: program, Budget: randomBudget, Most: randomMost})
+		opened, err := client.Open(ctx, OpenParams{Turn: id, Program: program, Budget: randomBudget, Most: randomMost})
 		if err != nil {
 			continue
 		}
--- a/internal/turnstore/reach.go
+++ b/internal/turnstore/reach.go
@@ -87,14 +87,14 @@
 	return len(known) == 0 || suffices(reachable, len(known))
 }
 
-// Steady tells whether the last opening of a program's shard met enough replicas, or there was none yet.
-func (c *Client) Steady(program string) bool {
+// ShardHealthy tells whether the last opening of a program's shard met enough replicas, or there was none yet.
+func (c *Client) ShardHealthy(program string) bool {
 	shard, _ := c.shardOf(program)
 	return !c.reach(shard).failing()
 }
 
-// WatchReach tries replicas that are out of reach until the context ends.
-func (c *Client) WatchReach(ctx context.Context) {
+// ProbeLostShards tries replicas that are out of reach until the context ends.
+func (c *Client) ProbeLostShards(ctx context.Context) {
 	ticker := time.NewTicker(reachInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/turnstore/reach_test.go
+++ b/internal/turnstore/reach_test.go
@@ -23,14 +23,14 @@
 	client := c.newClient()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go client.WatchReach(ctx)
+	go client.ProbeLostShards(ctx)
 	assert.NilError(t, c.reserve(client, "one", 100, 1))
-	assert.Assert(t, client.Reachable() && client.Steady(""))
+	assert.Assert(t, client.Reachable() && client.ShardHealthy(""))
 	for _, m := range c.machines {
 		c.links.set(m.address, true)
 	}
 	assert.Assert(t, apierr.Is(c.reserve(client, "first", 100, 1), apierr.TurnsUnavailable))
-	assert.Assert(t, !client.Steady(""), "one opening that met too few replicas is enough to be careful")
+	assert.Assert(t, !client.ShardHealthy(""), "one opening that met too few replicas is enough to be careful")
 	eventually(t, "the client knows", func() bool {
 		return apierr.Is(c.reserve(client, "two", 100, 1), apierr.TurnsUnavailable) && !client.Reachable()
 	})
@@ -42,7 +42,7 @@
 	}
 	eventually(t, "the client finds them again", client.Reachable)
 	assert.NilError(t, c.reserve(client, "four", 100, 1))
-	assert.Assert(t, client.Steady(""))
+	assert.Assert(t, client.ShardHealthy(""))
 }
 
 // A gateway that reaches no replica goes on through another gateway, and stays ready.
@@ -95,7 +95,7 @@
 	t.Cleanup(network.Close)
 	client := NewClient(ClientOptions{}, network, events.Discard())
 	startedAt := time.Now()
-	_, err := client.Open(t.Context(), Opening{Turn: "a", Program: "program", Budget: 10, Most: 1})
+	_, err := client.Open(t.Context(), OpenParams{Turn: "a", Program: "program", Budget: 10, Most: 1})
 	assert.Assert(t, apierr.Is(err, apierr.TurnsUnavailable), "%v", err)
 	assert.Equal(t, apierr.From(err, apierr.OutcomeUnknown).Outcome, apierr.NotRun)
 	took := time.Since(startedAt)
--- a/internal/turnstore/replica.go
+++ b/internal/turnstore/replica.go
@@ -8,7 +8,7 @@
 //	go replica.Run(ctx)
 //
 //	client := turnstore.NewClient(options, network, logger)
-//	opened, err := client.Open(ctx, turnstore.Opening{...})
+//	opened, err := client.Open(ctx, turnstore.OpenParams{...})
 //	err = client.Put(ctx, records)
 package turnstore
 
@@ -63,9 +63,9 @@
 	// LogBytes is the size of the log, in bytes, from which what is no longer needed is dropped; 0 stands for
 	// that of package turnlog.
 	LogBytes int64
-	// Retiring tells whether the operator wants the named replica emptied; Retired tells the operator of this one.
-	Retiring func(name string) bool
-	Retired  func(ctx context.Context, done bool) error
+	// IsRetiring tells whether the operator wants the named replica emptied; ReportRetirement tells the operator of this one.
+	IsRetiring       func(name string) bool
+	ReportRetirement func(ctx context.Context, done bool) error
 	// Metrics may be nil.
 	Metrics *Metrics
 }
@@ -89,7 +89,7 @@
 	candidates map[string]Member
 	// sets are the replica sets of all shards; set is that of this replica's.
 	sets sets
-	set  Set
+	set  ReplicaSet
 	// shard is what this replica holds, or noShard.
 	shard int
 	// refusing is true while the replica hands over what it holds.
@@ -211,22 +211,22 @@
 	}
 }
 
-// Set returns the newest known replica set of this replica's shard.
-func (r *Replica) Set() Set {
+// ReplicaSet returns the newest known replica set of this replica's shard.
+func (r *Replica) ReplicaSet() ReplicaSet {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.set
 }
 
 // setOf returns the newest known replica set of a shard.
-func (r *Replica) setOf(shard int) Set {
+func (r *Replica) setOf(shard int) ReplicaSet {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.sets[shard]
 }
 
 // ApplySet takes a set from the catalog or a peer; older ones are ignored.
-func (r *Replica) ApplySet(set Set) {
+func (r *Replica) ApplySet(set ReplicaSet) {
 	r.mutex.Lock()
 	newer := r.sets.apply(set)
 	first := newer && r.takeFirstShard()
@@ -254,7 +254,7 @@
 
 // newerThan returns the known set of a shard if a request's epoch is older. The error says that this replica holds
 // another shard. One that does not know its shard yet has never left the one that others know it in.
-func (r *Replica) newerThan(shard int, epoch int64) (*Set, error) {
+func (r *Replica) newerThan(shard int, epoch int64) (*ReplicaSet, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if set := r.sets[shard]; epoch < set.Epoch {
@@ -396,7 +396,7 @@
 	}
 	if r.set.Epoch > request.Epoch {
 		set := r.set
-		answer.Set = &set
+		answer.ReplicaSet = &set
 	}
 	return answer, nil
 }
@@ -432,9 +432,9 @@
 
 // serveFence makes the replica refuse older epochs from now on, also after a restart.
 func (r *Replica) serveFence(_ context.Context, _ transport.Peer, request fenceRequest) (fenceAnswer, error) {
-	r.ApplySet(request.Set)
-	set := r.Set()
-	if set.Shard != request.Set.Shard {
+	r.ApplySet(request.ReplicaSet)
+	set := r.ReplicaSet()
+	if set.Shard != request.ReplicaSet.Shard {
 		return fenceAnswer{}, errors.WithStack(errOtherShard{})
 	}
 	if err := r.folder.saveSet(set); err != nil {
--- a/internal/turnstore/retirement.go
+++ b/internal/turnstore/retirement.go
@@ -25,10 +25,10 @@
 // survive the loss of a disk, it serves on and waits for another replica to join: once it is reported as
 // emptied, its disk is gone. While another member is silent, it waits for a spare to take that one's place, and
 // takes back a change that it has begun: nothing could be written until the silent one is back, which may be never.
-func (r *Replica) retire(ctx context.Context, set Set) error {
+func (r *Replica) retire(ctx context.Context, set ReplicaSet) error {
 	self := r.options.Self.Name
 	if !set.Has(self) {
-		return r.options.Retired(ctx, true)
+		return r.options.ReportRetirement(ctx, true)
 	}
 	if set.Changing() && set.ChangedBy != self {
 		return r.takeBack(ctx, set)
@@ -64,7 +64,7 @@
 }
 
 // stay takes back a change by which this replica was to leave.
-func (r *Replica) stay(ctx context.Context, joint Set) error {
+func (r *Replica) stay(ctx context.Context, joint ReplicaSet) error {
 	if err := r.replaceSet(ctx, joint, takenBack(joint)); err != nil {
 		return err
 	}
@@ -73,13 +73,13 @@
 }
 
 // reportRetirementBegun tells the operator once.
-func (r *Replica) reportRetirementBegun(ctx context.Context, set Set) error {
+func (r *Replica) reportRetirementBegun(ctx context.Context, set ReplicaSet) error {
 	if !r.retirementBegunAt.IsZero() {
 		return nil
 	}
 	r.logger.Emit(events.ReplicaRetiring, events.F("epoch", set.Epoch), events.F("members", len(set.Members)),
 		events.F("waits", len(set.Members) <= set.Copies))
-	if err := r.options.Retired(ctx, false); err != nil {
+	if err := r.options.ReportRetirement(ctx, false); err != nil {
 		return err
 	}
 	r.retirementBegunAt = time.Now()
@@ -87,7 +87,7 @@
 }
 
 // finishRetirement hands over once no write of the old epoch can succeed any more.
-func (r *Replica) finishRetirement(ctx context.Context, joint Set) error {
+func (r *Replica) finishRetirement(ctx context.Context, joint ReplicaSet) error {
 	if !r.fence(ctx, joint) {
 		return nil
 	}
@@ -98,7 +98,7 @@
 	if err := r.replaceSet(ctx, joint, finished(joint)); err != nil {
 		return err
 	}
-	return r.options.Retired(ctx, true)
+	return r.options.ReportRetirement(ctx, true)
 }
 
 // takePartAgain undoes a retirement that the operator has withdrawn.
@@ -114,7 +114,7 @@
 }
 
 // handOver sends everything to the remaining members, and reports whether enough have it.
-func (r *Replica) handOver(ctx context.Context, set Set) bool {
+func (r *Replica) handOver(ctx context.Context, set ReplicaSet) bool {
 	r.mutex.Lock()
 	records := r.state.Records()
 	r.mutex.Unlock()
@@ -124,10 +124,10 @@
 			whole[member.Name] = true
 		}
 	}
-	return len(whole) == len(set.Next) || (len(whole) >= set.Copies && Set{Members: set.Next, Copies: set.Copies}.Read(whole))
+	return len(whole) == len(set.Next) || (len(whole) >= set.Copies && ReplicaSet{Members: set.Next, Copies: set.Copies}.Read(whole))
 }
 
-func (r *Replica) push(ctx context.Context, set Set, member Member, records []conversation.Record) bool {
+func (r *Replica) push(ctx context.Context, set ReplicaSet, member Member, records []conversation.Record) bool {
 	for len(records) > 0 {
 		batch := slices.Clone(records[:min(len(records), pushKeys)])
 		records = records[len(batch):]
--- a/internal/turnstore/retirement_test.go
+++ b/internal/turnstore/retirement_test.go
@@ -61,7 +61,7 @@
 // cutWhenChanged cuts a machine off at the moment at which the named replica begins a change of the set.
 func (c *cluster) cutWhenChanged(by string, lost *machine) {
 	var once sync.Once
-	c.store.listen(func(set Set) {
+	c.store.listen(func(set ReplicaSet) {
 		if set.Changing() && set.ChangedBy == by {
 			once.Do(func() { c.links.set(lost.address, true) })
 		}
@@ -108,7 +108,7 @@
 	c.cutWhenChanged(retiring.name, lost)
 	begun := make(chan struct{})
 	var once sync.Once
-	c.store.listen(func(set Set) {
+	c.store.listen(func(set ReplicaSet) {
 		if set.Changing() && set.ChangedBy == retiring.name {
 			once.Do(func() { close(begun) })
 		}
@@ -147,7 +147,7 @@
 	c.put("a", "")
 	retiring, lost := c.machines[0], c.machines[1]
 	var once sync.Once
-	c.store.listen(func(set Set) {
+	c.store.listen(func(set ReplicaSet) {
 		if set.Changing() && set.ChangedBy == retiring.name {
 			once.Do(func() {
 				c.links.set(lost.address, true)
@@ -195,7 +195,7 @@
 func (c *cluster) watchFewestMembers() func() int {
 	var mutex sync.Mutex
 	fewest := len(c.store.set().Members)
-	c.store.listen(func(set Set) {
+	c.store.listen(func(set ReplicaSet) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		fewest = min(fewest, len(set.Members))
--- a/internal/turnstore/set.go
+++ b/internal/turnstore/set.go
@@ -9,9 +9,9 @@
 	Zone    string `json:"zone,omitempty"`
 }
 
-// Set says which replicas hold the turns of one shard. While Next is not empty, the set is changing: writes and
+// ReplicaSet says which replicas hold the turns of one shard. While Next is not empty, the set is changing: writes and
 // reads need enough replicas of both Members and Next.
-type Set struct {
+type ReplicaSet struct {
 	// Shard is the number of the shard, from 0; Shards is how many there are, 0 standing for one.
 	Shard  int `json:"shard,omitempty"`
 	Shards int `json:"shards,omitempty"`
@@ -28,17 +28,17 @@
 }
 
 // fields are what log events tell of a set.
-func (s Set) fields() []events.Field {
+func (s ReplicaSet) fields() []events.Field {
 	return []events.Field{
 		events.F("shard", s.Shard), events.F("epoch", s.Epoch), events.F("members", s.Members), events.F("next", s.Next),
 	}
 }
 
 // Changing tells whether the set is between two steps of a change.
-func (s Set) Changing() bool { return len(s.Next) > 0 }
+func (s ReplicaSet) Changing() bool { return len(s.Next) > 0 }
 
 // All returns the members of both steps, each once.
-func (s Set) All() []Member {
+func (s ReplicaSet) All() []Member {
 	all := append([]Member(nil), s.Members...)
 	for _, member := range s.Next {
 		if !contains(all, member.Name) {
@@ -49,10 +49,10 @@
 }
 
 // Has tells whether a replica is a member of either step.
-func (s Set) Has(name string) bool { return contains(s.Members, name) || contains(s.Next, name) }
+func (s ReplicaSet) Has(name string) bool { return contains(s.Members, name) || contains(s.Next, name) }
 
 // firstOfZone tells whether a member is the first of its zone.
-func (s Set) firstOfZone(member Member) bool {
+func (s ReplicaSet) firstOfZone(member Member) bool {
 	for _, other := range s.All() {
 		if other.Zone == member.Zone {
 			return other.Name == member.Name
@@ -62,24 +62,24 @@
 }
 
 // Written tells whether a record that the named replicas have synced counts as written.
-func (s Set) Written(synced map[string]bool) bool {
+func (s ReplicaSet) Written(synced map[string]bool) bool {
 	enough := func(members []Member) bool { return count(members, synced) >= s.writes(members) }
 	return enough(s.Members) && (!s.Changing() || enough(s.Next))
 }
 
 // Read tells whether the answers of the named complete replicas are sure to show every record that
 // counts as written.
-func (s Set) Read(complete map[string]bool) bool {
+func (s ReplicaSet) Read(complete map[string]bool) bool {
 	enough := func(members []Member) bool { return count(members, complete) >= s.reads(members) }
 	return enough(s.Members) && (!s.Changing() || enough(s.Next))
 }
 
-func (s Set) writes(members []Member) int { return min(s.Copies, len(members)) }
+func (s ReplicaSet) writes(members []Member) int { return min(s.Copies, len(members)) }
 
-func (s Set) reads(members []Member) int { return len(members) - s.writes(members) + 1 }
+func (s ReplicaSet) reads(members []Member) int { return len(members) - s.writes(members) + 1 }
 
 // readers are the members that follow the store for all.
-func (s Set) readers() []Member { return s.Members[:min(s.Copies, len(s.Members))] }
+func (s ReplicaSet) readers() []Member { return s.Members[:min(s.Copies, len(s.Members))] }
 
 func contains(members []Member, name string) bool {
 	for _, member := range members {
--- a/internal/turnstore/shard.go
+++ b/internal/turnstore/shard.go
@@ -33,16 +33,16 @@
 
 // firstSets divides the first candidates over shards of size members each. Candidates are taken from each zone in turn, so
 // that the members of a set are in as many zones as possible, and so are the spares that are left.
-func firstSets(listed []Member, size, copies int) []Set {
+func firstSets(listed []Member, size, copies int) []ReplicaSet {
 	if size <= 0 || size >= len(listed) {
-		return []Set{{Epoch: 1, Members: listed, Copies: copies, Size: len(listed)}}
+		return []ReplicaSet{{Epoch: 1, Members: listed, Copies: copies, Size: len(listed)}}
 	}
 	shards := shardsFor(len(listed), size)
 	ordered := byZonesInTurn(listed)
-	sets := make([]Set, 0, shards)
+	sets := make([]ReplicaSet, 0, shards)
 	for shard := range shards {
 		members := slices.Clone(ordered[shard*size : (shard+1)*size])
-		set := Set{Epoch: 1, Members: members, Copies: copies, Size: size}
+		set := ReplicaSet{Epoch: 1, Members: members, Copies: copies, Size: size}
 		if shards > 1 {
 			set.Shard, set.Shards = shard, shards
 		}
@@ -82,10 +82,10 @@
 }
 
 // sets are the newest replica sets that a node knows, by shard. It is not safe for concurrent use.
-type sets map[int]Set
+type sets map[int]ReplicaSet
 
 // apply takes a set unless a newer one of its shard is known, and reports whether it did.
-func (s sets) apply(set Set) bool {
+func (s sets) apply(set ReplicaSet) bool {
 	if set.Epoch <= s[set.Shard].Epoch {
 		return false
 	}
@@ -105,21 +105,21 @@
 func (s sets) whole() bool { return len(s) > 0 && len(s) == s.shards() }
 
 // all returns the sets in the order of their shards.
-func (s sets) all() []Set {
-	ordered := make([]Set, 0, len(s))
+func (s sets) all() []ReplicaSet {
+	ordered := make([]ReplicaSet, 0, len(s))
 	for _, set := range s {
 		ordered = append(ordered, set)
 	}
-	slices.SortFunc(ordered, func(a, b Set) int { return a.Shard - b.Shard })
+	slices.SortFunc(ordered, func(a, b ReplicaSet) int { return a.Shard - b.Shard })
 	return ordered
 }
 
 // memberOf returns the set that has the named replica as a member.
-func (s sets) memberOf(name string) (Set, bool) {
+func (s sets) memberOf(name string) (ReplicaSet, bool) {
 	for _, set := range s {
 		if set.Has(name) {
 			return set, true
 		}
 	}
-	return Set{}, false
+	return ReplicaSet{}, false
 }
--- a/internal/turnstore/shard_test.go
+++ b/internal/turnstore/shard_test.go
@@ -64,7 +64,7 @@
 func (c *cluster) keep(client *Client, program, id, previous string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	opened, err := client.Open(ctx, Opening{Turn: id, Program: program, Previous: previous, Budget: randomBudget, Most: 1})
+	opened, err := client.Open(ctx, OpenParams{Turn: id, Program: program, Previous: previous, Budget: randomBudget, Most: 1})
 	if err != nil {
 		return err
 	}
@@ -74,10 +74,10 @@
 	return client.Put(ctx, program, records)
 }
 
-func (c *cluster) readAs(program, previous string) (*Opened, error) {
+func (c *cluster) readAs(program, previous string) (*OpenedTurn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return c.newClient().Open(ctx, Opening{Turn: "next", Program: program, Previous: previous, Budget: -1})
+	return c.newClient().Open(ctx, OpenParams{Turn: "next", Program: program, Previous: previous, Budget: -1})
 }
 
 // What a program keeps lies at the members of its shard only.
@@ -223,7 +223,7 @@
 	c.kill(m)
 	opened, err := openFolder(m.folder, false)
 	assert.NilError(t, err)
-	assert.Equal(t, opened.record().Set.Shard, 1)
+	assert.Equal(t, opened.record().ReplicaSet.Shard, 1)
 	assert.Assert(t, opened.record().Complete)
 	moved := c.store.setOf(0)
 	assert.NilError(t, opened.saveShard(moved))
--- a/internal/turnstore/turnstore_test.go
+++ b/internal/turnstore/turnstore_test.go
@@ -148,7 +148,7 @@
 	assert.Assert(t, apierr.Is(c.reserve(c.client, "two", 100, 60), apierr.BudgetExceeded))
 	c.client.Settle(one, 20, "")
 	eventually(t, "the refusal is settled", c.client.idle)
-	var two *Opened
+	var two *OpenedTurn
 	eventually(t, "there is room for the second try", func() bool {
 		two, err = c.open(c.client, "two", 100, 60)
 		return err == nil
@@ -317,7 +317,7 @@
 // The only member whose disk was lost knows that nothing is left anywhere, and serves on.
 func TestOnlyMemberWithALostDiskServesOn(t *testing.T) {
 	t.Parallel()
-	replica := &Replica{set: Set{Epoch: 4, Members: []Member{{Name: "only"}}, Copies: 1, Size: 1}}
+	replica := &Replica{set: ReplicaSet{Epoch: 4, Members: []Member{{Name: "only"}}, Copies: 1, Size: 1}}
 	replica.options.Self = Member{Name: "only"}
 	assert.Assert(t, replica.pulledEnough(time.Time{}))
 	replica.options.Self = Member{Name: "newcomer"}
@@ -329,21 +329,21 @@
 	t.Parallel()
 	c := newCluster(t, 3)
 	stale := c.newClient()
-	set := stale.Set()
+	set := stale.ReplicaSet()
 	fenced := set
 	fenced.Epoch += 5
 	for _, m := range c.machines {
-		_, err := m.process.replica.serveFence(context.Background(), transport.Peer{}, fenceRequest{Set: fenced})
+		_, err := m.process.replica.serveFence(context.Background(), transport.Peer{}, fenceRequest{ReplicaSet: fenced})
 		assert.NilError(t, err)
 	}
 	answer, err := c.machines[0].process.replica.servePut(context.Background(), transport.Peer{}, putRequest{Epoch: set.Epoch})
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Newer.Epoch, fenced.Epoch)
 	assert.NilError(t, c.reserve(stale, "one", 10, 1))
-	assert.Equal(t, stale.Set().Epoch, fenced.Epoch)
+	assert.Equal(t, stale.ReplicaSet().Epoch, fenced.Epoch)
 	c.kill(c.machines[0])
 	c.start(c.machines[0])
-	assert.Equal(t, c.machines[0].process.replica.Set().Epoch, fenced.Epoch, "a restart must not forget the epoch")
+	assert.Equal(t, c.machines[0].process.replica.ReplicaSet().Epoch, fenced.Epoch, "a restart must not forget the epoch")
 }
 
 // A change whose replica is gone for good is taken back by the others.
@@ -386,7 +386,7 @@
 			}
 			return made
 		}
-		set := Set{Members: members("old", 1, 6), Copies: rapid.IntRange(1, 3).Draw(t, "copies")}
+		set := ReplicaSet{Members: members("old", 1, 6), Copies: rapid.IntRange(1, 3).Draw(t, "copies")}
 		if rapid.Bool().Draw(t, "changing") {
 			set.Next = append(members("new", 1, 2), set.Members[rapid.IntRange(0, len(set.Members)-1).Draw(t, "left"):]...)
 		}
