--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -98,7 +98,7 @@
 // peers lists the addresses of the replicas of this zone, then of the others, then of the seeds.
 func (n *Node) peers() []string {
 	var local, remote []string
-	for _, member := range n.turns.Set().All() {
+	for _, member := range n.turns.ReplicaSet().All() {
 		if member.Zone == n.options.Zone {
 			local = append(local, member.Address)
 		} else {
@@ -127,7 +127,7 @@
 	case catalog.EngineKind:
 		n.registry.Apply(entry)
 	case catalog.ReplicaSetKind:
-		var set turnstore.Set
+		var set turnstore.ReplicaSet
 		if json.Unmarshal(entry.Value, &set) == nil {
 			n.turns.ApplySet(set)
 		}
@@ -166,7 +166,7 @@
 // Run keeps the catalog up to date until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.awaitReadiness(ctx)
-	go n.turns.WatchReach(ctx)
+	go n.turns.ProbeLostShards(ctx)
 	go n.options.Network.KeepRelays(ctx, n.peers)
 	n.catalog.Run(ctx)
 }
@@ -183,7 +183,7 @@
 		}
 	}
 	n.ready.Store(true)
-	n.options.Logger.Emit(events.NodeReady, events.F("version", n.table.Load().Version()), events.F("epoch", n.turns.Set().Epoch))
+	n.options.Logger.Emit(events.NodeReady, events.F("version", n.table.Load().Version()), events.F("epoch", n.turns.ReplicaSet().Epoch))
 }
 
 func (n *Node) canServe(ctx context.Context) bool {
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -20,7 +20,7 @@
 // closed.
 type reservation struct {
 	done   chan struct{}
-	opened *turnstore.Opened
+	opened *turnstore.OpenedTurn
 	err    error
 	// duration is how long the reservation took.
 	duration time.Duration
@@ -28,7 +28,7 @@
 
 // reserve starts the reservation for a turn. If it fails, cancelCause is called with the error
 // before done is closed.
-func (r *request) reserve(ctx context.Context, opening turnstore.Opening, cancelCause context.CancelCauseFunc) *reservation {
+func (r *request) reserve(ctx context.Context, opening turnstore.OpenParams, cancelCause context.CancelCauseFunc) *reservation {
 	pending := &reservation{done: make(chan struct{})}
 	startedAt := time.Now()
 	go func() {
@@ -49,7 +49,7 @@
 	if r.route.Kind() != routing.Stream || (r.caller.Budget == NoBudget && !r.route.StoreTurns()) {
 		return nil
 	}
-	opening := turnstore.Opening{
+	opening := turnstore.OpenParams{
 		Turn: r.caller.ID, Program: r.caller.Program, Budget: r.caller.Budget, Most: r.caller.Most,
 	}
 	if r.route.StoreTurns() {
@@ -73,7 +73,7 @@
 // After a reservation has failed for lack of replicas, this one would probably fail too and the
 // turn run in vain.
 func (r *request) canRunAhead() bool {
-	return r.route.Repeatable() && !r.route.StoreTurns() && r.server.options.Turns.Steady(r.caller.Program)
+	return r.route.Repeatable() && !r.route.StoreTurns() && r.server.options.Turns.ShardHealthy(r.caller.Program)
 }
 
 // awaitReservation waits until the reservation succeeds or fails. It ends with the request's
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -113,7 +113,7 @@
 	body      []byte
 	// reservation may still be pending while the turn runs; nil for calls that need none.
 	reservation *reservation
-	opened      *turnstore.Opened
+	opened      *turnstore.OpenedTurn
 	// ahead is set if the turn runs in parallel with its reservation.
 	ahead bool
 
