--- a/internal/turnstore/busy_test.go
+++ b/internal/turnstore/append_test.go
@@ -15,14 +15,14 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// A disk that stands still refuses hundreds of records a second; the log tells of some of them.
-func TestRefusedRecordsDoNotFloodTheLog(t *testing.T) {
+// Log lines about failed writes are rate-limited: a stalled disk rejects hundreds of records a second.
+func TestAppendFailureLogIsRateLimited(t *testing.T) {
 	t.Parallel()
 	var log memorylog.Log
 	logger := events.NewLogger(&log, logrus.InfoLevel, "replica")
 	network := transport.New(transport.Options{Cluster: "test", NodeID: "replica", Logger: logger})
 	t.Cleanup(network.Close)
-	// The replica does not run: nothing takes what is appended.
+	// The replica is not running, so nothing drains its append queue.
 	replica, err := NewReplica(ReplicaOptions{Self: Member{Name: "replica"}, Folder: t.TempDir(), FirstStart: true, Copies: 1}, network, logger)
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
@@ -30,19 +30,19 @@
 	record := func(number int) []conversation.Record {
 		return []conversation.Record{{Turn: &conversation.Turn{ID: fmt.Sprint(number)}}}
 	}
-	refused := 0
-	const tries, refusals = 2000, 300
-	for number := 0; number < tries && refused < refusals; number++ {
+	failures := 0
+	const tries, wantFailures = 2000, 300
+	for number := 0; number < tries && failures < wantFailures; number++ {
 		done := make(chan error, 1)
 		go func() { done <- replica.append(ctx, record(number)) }()
 		select {
 		case err := <-done:
 			assert.Assert(t, err != nil)
-			refused++
+			failures++
 		case <-time.After(time.Millisecond):
 		}
 	}
-	assert.Equal(t, refused, refusals)
+	assert.Equal(t, failures, wantFailures)
 	lines := log.Count("replica_log_failed")
-	assert.Assert(t, lines >= 1 && lines <= 4*failureLinesASecond, "%d lines", lines)
+	assert.Assert(t, lines >= 1 && lines <= 4*failureLogsPerSecond, "%d lines", lines)
 }
--- a/internal/turnstore/assignment.go
+++ b/internal/turnstore/assignment.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// noShard stands for the shard of a replica that has not heard of the replica sets yet.
+	// noShard is the shard of a replica that does not know the replica sets yet.
 	noShard = -1
-	// moveSpread is within which spares that see the same need decide by chance who moves: the first one that pulls keeps the
-	// others away. It is a few times as long as a question and its answer take on a busy machine.
-	moveSpread = 600 * time.Millisecond
+	// moveJitter bounds the random delay before a spare moves to a shard that lacks a member. The first spare to pull
+	// there keeps the others away, so the jitter is several round trips long.
+	moveJitter = 600 * time.Millisecond
 )
 
-// shardNeed is a shard that lacks a member, and when this replica moves there unless another one does.
-type shardNeed struct {
+// pendingMove is a shard that lacks a member and the time at which this replica moves there unless another spare does
+// first.
+type pendingMove struct {
 	shard  int
 	moveAt time.Time
 }
 
-// errOtherShard means that what belongs to one shard met a replica of another.
-type errOtherShard struct{}
+// errWrongShard means that a set of one shard reached a replica of another.
+type errWrongShard struct{}
 
 // Error implements error.
-func (errOtherShard) Error() string { return "the replica holds another shard" }
+func (errWrongShard) Error() string { return "the replica holds another shard" }
 
-// restoreShard takes up the shard that the folder names.
+// restoreShard restores the shard assignment from the record in the data folder.
 func (r *Replica) restoreShard(record folderRecord) {
 	if record.ReplicaSet.Epoch == 0 {
 		return
@@ -43,14 +44,15 @@
 	r.shard = record.ReplicaSet.Shard
 }
 
-// takeFirstShard chooses a shard for a replica that has none: the one that has it as a member, or else any, so that spares
-// are spread over all. It reports whether there is one now. The caller holds the mutex.
-func (r *Replica) takeFirstShard() bool {
+// assignFirstShard chooses a shard for a replica without one: the shard that lists it as a member, or else one by hash
+// of its name, which spreads spares over all shards. It reports whether a shard was assigned. The caller holds the
+// mutex.
+func (r *Replica) assignFirstShard() bool {
 	if r.shard != noShard {
 		return false
 	}
 	set, found := r.sets.memberOf(r.options.Self.Name)
-	if !found && !r.sets.whole() {
+	if !found && !r.sets.allKnown() {
 		return false
 	}
 	if !found {
@@ -61,8 +63,9 @@
 	return true
 }
 
-// keepShard writes down which shard this replica holds, and moves it if it is to hold another one.
-func (r *Replica) keepShard(retiring bool) error {
+// updateShard persists this replica's shard assignment, and moves the replica if it belongs to another shard or another
+// shard needs a spare.
+func (r *Replica) updateShard(retiring bool) error {
 	r.mutex.Lock()
 	shard, own := r.shard, r.set
 	home, member := r.sets.memberOf(r.options.Self.Name)
@@ -71,86 +74,88 @@
 	case shard == noShard:
 		return nil
 	case member && home.Shard != shard:
-		return r.moveTo(home)
+		return r.moveToShard(home)
 	case !r.folder.record().Assigned:
 		return r.folder.saveShard(own)
 	case member || retiring:
 		return nil
 	}
-	if need, found := r.shardInNeed(own); found {
-		return r.moveTo(need)
+	if target, found := r.shardToJoin(own); found {
+		return r.moveToShard(target)
 	}
 	return nil
 }
 
-// shardInNeed returns another shard that lacks a member, once it is this spare's turn to go there.
-func (r *Replica) shardInNeed(own ReplicaSet) (ReplicaSet, bool) {
-	if r.lacksMember(own) {
+// shardToJoin returns another shard that lacks a member, and whether this spare's jitter has passed so that it may move
+// there.
+func (r *Replica) shardToJoin(own ReplicaSet) (ReplicaSet, bool) {
+	if r.needsSpare(own) {
 		return ReplicaSet{}, false
 	}
 	for _, set := range r.otherSets(own.Shard) {
-		if !r.lacksMember(set) || !r.hearsEnough(set) || r.isFollowed(set) {
+		if !r.needsSpare(set) || !r.hasQuorumContact(set) || r.hasPullingSpare(set) {
 			continue
 		}
 		now := time.Now()
-		if r.need.shard != set.Shard || now.Sub(r.need.moveAt) > moveSpread {
-			r.need = shardNeed{shard: set.Shard, moveAt: now.Add(rand.N(moveSpread))}
+		if r.move.shard != set.Shard || now.Sub(r.move.moveAt) > moveJitter {
+			r.move = pendingMove{shard: set.Shard, moveAt: now.Add(rand.N(moveJitter))}
 		}
-		return set, now.After(r.need.moveAt)
+		return set, now.After(r.move.moveAt)
 	}
 	return ReplicaSet{}, false
 }
 
-// lacksMember tells whether a spare is to take a place in a set.
-func (r *Replica) lacksMember(set ReplicaSet) bool {
+// needsSpare reports whether a spare should become a member of a set.
+func (r *Replica) needsSpare(set ReplicaSet) bool {
 	if set.Changing() {
 		return false
 	}
-	return len(set.Members) < set.Size || r.silentMember(set.Members) != "" || r.retiringMember(set.Members) != ""
+	return len(set.Members) < set.Size || r.timedOutMember(set.Members) != "" || r.retiringMember(set.Members) != ""
 }
 
-// isFollowed tells whether a member has said that another spare pulls from it.
-func (r *Replica) isFollowed(set ReplicaSet) bool {
+// hasPullingSpare reports whether a live member of a set reports that another spare pulls from it.
+func (r *Replica) hasPullingSpare(set ReplicaSet) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, member := range set.Members {
-		if progress := r.peers[member.Name]; progress != nil && progress.followed && !r.silent(member.Name) {
+		if progress := r.peers[member.Name]; progress != nil && progress.sparePulling && !r.timedOut(member.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// moveTo makes this replica hold another shard. It holds nothing of it at first, and nothing of the old one any more.
-func (r *Replica) moveTo(set ReplicaSet) error {
+// moveToShard assigns this replica to another shard. It drops everything that it holds and starts the new shard empty.
+func (r *Replica) moveToShard(set ReplicaSet) error {
 	if err := r.folder.saveShard(set); err != nil {
 		return errors.Wrapf(err, "moving to shard %d", set.Shard)
 	}
 	r.mutex.Lock()
-	before := r.shard
+	previous := r.shard
 	r.shard, r.set = set.Shard, set
 	r.state = conversation.New()
-	r.refusing = false
-	r.follower = ""
-	// Others may have pulled from this replica before. What it holds from now on is numbered anew.
+	r.handingOver = false
+	r.pullingSpare = ""
+	// Peers may have pulled from this replica before; a new incarnation makes them restart, since sequence numbers
+	// start over.
 	r.incarnation = uuid.NewString()
-	r.forgetPulls()
+	r.resetPullProgress()
 	r.mutex.Unlock()
 	r.texts.clear()
-	r.logger.Emit(events.ReplicaShardChanged, events.F("from", before), events.F("shard", set.Shard), events.F("epoch", set.Epoch))
-	r.wakePulls()
+	r.logger.Emit(events.ReplicaShardChanged, events.F("from", previous), events.F("shard", set.Shard), events.F("epoch", set.Epoch))
+	r.triggerPull()
 	return nil
 }
 
-// forgetPulls forgets what was pulled from whom, but not when peers were heard. A pull that is under way ends with what is
-// forgotten. The caller holds the mutex.
-func (r *Replica) forgetPulls() {
-	for name, known := range r.peers {
-		r.peers[name] = &peerProgress{heardAt: known.heardAt, firstAskedAt: known.firstAskedAt, askedAt: known.askedAt}
+// resetPullProgress discards what was pulled from each peer, but keeps the contact times. A pull in progress updates
+// only the discarded entry. The caller holds the mutex.
+func (r *Replica) resetPullProgress() {
+	for name, progress := range r.peers {
+		r.peers[name] = &peerProgress{lastResponseAt: progress.lastResponseAt, firstRequestAt: progress.firstRequestAt, lastRequestAt: progress.lastRequestAt}
 	}
 }
 
-// otherSets are the sets of all shards but one.
+// otherSets returns the sets of all shards but one.
 func (r *Replica) otherSets(shard int) []ReplicaSet {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -163,7 +168,7 @@
 	return others
 }
 
-// isMember tells whether this replica is a member of any set.
+// isMember reports whether this replica is a member of any shard's set.
 func (r *Replica) isMember() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -171,9 +176,9 @@
 	return member
 }
 
-// watchLoop lets a spare ask the members of the shards that it does not hold whether they are there, for there are fewer
-// spares than a spare for each shard at times.
-func (r *Replica) watchLoop(ctx context.Context) {
+// otherShardsLoop makes a spare send heartbeats to members of the shards that it does not hold, because there may be
+// fewer spares than shards.
+func (r *Replica) otherShardsLoop(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	ticker := time.NewTicker(pullInterval)
@@ -188,22 +193,22 @@
 			continue
 		}
 		for _, set := range r.otherSets(r.ReplicaSet().Shard) {
-			r.watchMembers(ctx, &tasks, set)
+			r.sendHeartbeats(ctx, &tasks, set)
 		}
 	}
 }
 
-func (r *Replica) watchMembers(ctx context.Context, tasks *sync.WaitGroup, set ReplicaSet) {
+func (r *Replica) sendHeartbeats(ctx context.Context, tasks *sync.WaitGroup, set ReplicaSet) {
 	for _, member := range set.All() {
 		progress := r.progressOf(member)
-		if !r.setAsking(progress, true) {
+		if !r.setInFlight(progress, true) {
 			continue
 		}
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
-			defer r.setAsking(progress, false)
-			r.checkPresence(ctx, set.Shard, member)
+			defer r.setInFlight(progress, false)
+			r.sendHeartbeat(ctx, set.Shard, member)
 		}()
 	}
 }
--- a/internal/turnstore/cache.go
+++ b/internal/turnstore/cache.go
@@ -8,24 +8,24 @@
 	"github.com/mountstile/mountstile/internal/conversation"
 )
 
-// cache keeps the turns that were used last, up to a number of bytes. A turn is left out once it is
-// older than its retention, for replicas may have dropped what was before it.
+// cache is an LRU cache of turns, bounded in bytes. A turn expires with its retention, since replicas may have dropped
+// its predecessors by then.
 type cache struct {
 	mutex sync.Mutex
 	limit int64
 	bytes int64
 	turns map[string]*list.Element
-	// recent has the turn that was used last in front.
-	recent *list.List
+	// lru has the most recently used turn at the front.
+	lru *list.List
 }
 
 type cachedTurn struct {
-	turn     conversation.Turn
-	keepTill time.Time
+	turn      conversation.Turn
+	expiresAt time.Time
 }
 
 func newCache(limit int64) *cache {
-	return &cache{limit: limit, turns: make(map[string]*list.Element), recent: list.New()}
+	return &cache{limit: limit, turns: make(map[string]*list.Element), lru: list.New()}
 }
 
 func (c *cache) add(turn conversation.Turn) {
@@ -34,18 +34,18 @@
 	if c.turns[turn.ID] != nil {
 		return
 	}
-	keepTill := time.Now().Add(time.Duration(turn.RetentionMillis) * time.Millisecond)
-	c.turns[turn.ID] = c.recent.PushFront(&cachedTurn{turn: turn, keepTill: keepTill})
+	expiresAt := time.Now().Add(time.Duration(turn.RetentionMillis) * time.Millisecond)
+	c.turns[turn.ID] = c.lru.PushFront(&cachedTurn{turn: turn, expiresAt: expiresAt})
 	c.bytes += int64(len(turn.Text))
 	for c.bytes > c.limit {
-		c.drop(c.recent.Back())
+		c.evict(c.lru.Back())
 	}
 }
 
-func (c *cache) drop(element *list.Element) {
-	dropped := c.recent.Remove(element).(*cachedTurn)
-	delete(c.turns, dropped.turn.ID)
-	c.bytes -= int64(len(dropped.turn.Text))
+func (c *cache) evict(element *list.Element) {
+	evicted := c.lru.Remove(element).(*cachedTurn)
+	delete(c.turns, evicted.turn.ID)
+	c.bytes -= int64(len(evicted.turn.Text))
 }
 
 func (c *cache) addChain(turns []conversation.Turn) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// chain returns all turns up to id, oldest first, if all are here.
+// chain returns all turns up to id, oldest first, if all of them are cached.
 func (c *cache) chain(id string) ([]conversation.Turn, bool) {
 	if id == "" {
 		return nil, true
@@ -69,11 +69,11 @@
 			return nil, false
 		}
 		cached := element.Value.(*cachedTurn)
-		if now.After(cached.keepTill) {
-			c.drop(element)
+		if now.After(cached.expiresAt) {
+			c.evict(element)
 			return nil, false
 		}
-		c.recent.MoveToFront(element)
+		c.lru.MoveToFront(element)
 		turns = append(turns, cached.turn)
 		id = cached.turn.Previous
 	}
--- a/internal/turnstore/client.go
+++ b/internal/turnstore/client.go
@@ -15,75 +15,76 @@
 )
 
 const (
-	// openTimeout bounds the wait for enough replicas before a turn is sent.
+	// openTimeout bounds the wait for a quorum before a turn is sent to an engine.
 	openTimeout = 900 * time.Millisecond
-	// textHedge is how long the nearest replica may take to give the text before others are asked.
-	textHedge = 25 * time.Millisecond
-	// retryAfterUnavailable tells callers when to come back if too few replicas answer.
+	// textHedgeDelay is how long the nearest replica may take to return the text before the other replicas are asked
+	// for it.
+	textHedgeDelay = 25 * time.Millisecond
+	// retryAfterUnavailable is the retry delay suggested to callers when there is no quorum.
 	retryAfterUnavailable = 250 * time.Millisecond
-	// putInterval is the pause before a record is offered again to replicas that did not take it.
-	putInterval = 150 * time.Millisecond
-	// putAttempt bounds one offer.
-	putAttempt = 1500 * time.Millisecond
-	// settleTimeout is how long a charge that nobody waits for is offered.
+	// putRetryDelay precedes each retry of a write at the replicas that have not stored it.
+	putRetryDelay = 150 * time.Millisecond
+	// putTimeout bounds one write attempt.
+	putTimeout = 1500 * time.Millisecond
+	// settleTimeout bounds the background write of a settled charge.
 	settleTimeout = 20 * time.Second
-	// maximalSettling bounds the charges that are under way; others stay at their most.
-	maximalSettling = 512
-	// chargeNameBits is how many random bits name a charge within its program. Of a thousand charges of a program two
-	// have one name once in 500 million programs; each opening brings the names of all charges from each replica.
-	chargeNameBits = 48
-	// answersQueued is room for the answers of all replicas, so that late ones never block.
-	answersQueued = 64
+	// maxSettling bounds concurrent settlements; charges beyond it stay at their reserved amount.
+	maxSettling = 512
+	// chargeIDBits is the number of random bits in a charge ID. IDs are unique within a program, and each open returns
+	// all of them from every replica, so they are kept short.
+	chargeIDBits = 48
+	// responseBuffer has room for the responses of all replicas, so that late ones never block.
+	responseBuffer = 64
 )
 
-// ClientOptions configure a Client.
+// ClientOptions configures a Client.
 type ClientOptions struct {
-	// Zone is where the client runs; its replica is asked for texts first.
+	// Zone is the client's zone; a replica of this zone is preferred for reading texts.
 	Zone string
-	// CacheBytes bounds the turns that are kept in memory.
+	// CacheBytes bounds the texts of cached turns.
 	CacheBytes int64
-	// Load is exchanged with the replicas along with openings; nil for none.
+	// Load is exchanged with the replicas in open requests; nil disables the exchange.
 	Load LoadExchange
 }
 
-// LoadExchange is what a gateway tells of its calls in flight, and hears of the others'.
+// LoadExchange is a gateway's side of the exchange of in-flight call counts.
 type LoadExchange interface {
-	// Report returns the calls in flight here.
+	// Report returns this gateway's calls in flight.
 	Report() load.Sheet
-	// Take hears the sum of what the others reported.
+	// Take receives the sum of the other gateways' reports.
 	Take(now time.Time, others load.Sheet)
 }
 
-// OpenParams is what must be known before a turn is sent to an engine.
+// OpenParams describes a turn that is about to be sent to an engine.
 type OpenParams struct {
 	Turn     string
 	Program  string
 	Previous string
-	// Budget is what all turns of the program may generate together, in tokens; negative for none.
+	// Budget is how many tokens all turns of the program may generate together; negative means unlimited.
 	Budget int64
-	// Most is the most that this turn may generate.
+	// Most is how many tokens this turn may generate.
 	Most int64
 }
 
-// OpenedTurn is a turn that may be sent.
+// OpenedTurn is a turn that may be sent to an engine.
 type OpenedTurn struct {
-	// Prefix is the text of all turns before this one.
+	// Prefix is the concatenated text of all previous turns.
 	Prefix []byte
-	// Engine generated the turn before this one, or ran another turn of the program; empty if none is known.
+	// Engine ran the previous turn or another turn of the program; empty if unknown.
 	Engine string
-	// Reserved tells that a charge is to be settled.
+	// Reserved reports that a charge was reserved and must be settled.
 	Reserved bool
-	// program and charge name the reservation. Its name is made for this opening alone: a caller that
-	// was refused and sends the same ID again must not meet the settled charge of the refusal.
-	program string
-	charge  string
-	// chain are the turns before this one, oldest first; they are inherited if a program of another shard had them.
+	// program and chargeID identify the reservation. Each open draws a new charge ID: a caller that retries a rejected
+	// turn with the same turn ID must not match the settled charge of the rejection.
+	program  string
+	chargeID string
+	// chain holds the previous turns, oldest first; inherited is set if they belong to another shard.
 	chain     []conversation.Turn
 	inherited bool
 }
 
-// Inherited are records to write along with the turn: the turns before it, if a program of another shard had them. So the
-// turns before any turn lie in its shard, and are read there at once.
+// Inherited returns the records to write along with the turn: its previous turns, if they belong to another shard. This
+// keeps all predecessors of a turn in its own shard, where one read finds them.
 func (o *OpenedTurn) Inherited() []conversation.Record {
 	if !o.inherited {
 		return nil
@@ -95,53 +96,54 @@
 	return records
 }
 
-// Settled is the record of what the turn generated in the end, in tokens, and of the engine where it ran; that is
-// empty if it didn't.
+// Settled returns the record of the tokens that the turn generated and of the engine that ran it; engine is empty if
+// none did.
 func (o *OpenedTurn) Settled(tokens int64, engine string) conversation.Record {
-	return conversation.Record{Charge: &conversation.Charge{Program: o.program, Turn: o.charge, Tokens: tokens, Settled: true, Engine: engine}}
+	return conversation.Record{Charge: &conversation.Charge{Program: o.program, Turn: o.chargeID, Tokens: tokens, Settled: true, Engine: engine}}
 }
 
-// Client reads and writes turns on behalf of callers. All methods may be called concurrently.
+// Client reads and writes turns for a gateway. All methods may be called concurrently.
 type Client struct {
 	options ClientOptions
 	network *transport.Transport
 	logger  *events.Logger
 	cache   *cache
-	// loadPacer bounds the bytes of reports of load and their answers; news tells who is asked for the others'.
-	loadPacer load.Pacer
-	news      newsSource
+	// loadPacer limits the bytes spent on load exchange; loadSource selects the replica that returns the others' load.
+	loadPacer  load.Pacer
+	loadSource loadSourceSelector
 
 	mutex    sync.Mutex
 	sets     sets
-	reaches  map[int]*reach
+	health   map[int]*shardHealth
 	settling int
 	// setsKnown is closed once the replica sets of all shards are known.
 	setsKnown chan struct{}
 }
 
-// NewClient returns a Client that knows no replica set yet.
+// NewClient returns a Client that does not know any replica set yet; see ApplySet.
 func NewClient(options ClientOptions, network *transport.Transport, logger *events.Logger) *Client {
 	return &Client{
 		options: options, network: network, logger: logger, cache: newCache(options.CacheBytes),
-		sets: make(sets), reaches: make(map[int]*reach), setsKnown: make(chan struct{}),
+		sets: make(sets), health: make(map[int]*shardHealth), setsKnown: make(chan struct{}),
 	}
 }
 
-// ApplySet takes a set from the catalog or a replica; older ones are ignored.
+// ApplySet applies a set from the catalog or a replica; sets that are not newer are ignored.
 func (c *Client) ApplySet(set ReplicaSet) {
 	c.mutex.Lock()
-	knewAll := c.sets.whole()
+	knewAllSets := c.sets.allKnown()
 	newer := c.sets.apply(set)
-	if newer && !knewAll && c.sets.whole() {
+	if newer && !knewAllSets && c.sets.allKnown() {
 		close(c.setsKnown)
 	}
 	c.mutex.Unlock()
 	if newer {
-		c.logger.Emit(events.ReplicaSetChanged, set.fields()...)
+		c.logger.Emit(events.ReplicaSetChanged, set.logFields()...)
 	}
 }
 
-// ReplicaSet returns the newest known replica set of the first shard, whose members follow the store for all.
+// ReplicaSet returns the newest known replica set of the first shard, whose first members read the configuration store
+// for all nodes.
 func (c *Client) ReplicaSet() ReplicaSet { return c.setOf(0) }
 
 func (c *Client) setOf(shard int) ReplicaSet {
@@ -150,63 +152,64 @@
 	return c.sets[shard]
 }
 
-// allSets returns the sets of all shards, or nothing while some are not known.
+// allSets returns the sets of all shards, or nil unless all are known.
 func (c *Client) allSets() []ReplicaSet {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.sets.whole() {
+	if !c.sets.allKnown() {
 		return nil
 	}
 	return c.sets.all()
 }
 
-// shardOf is the shard of a program, and whether the replica sets are known.
+// shardOf returns the shard of a program and whether all replica sets are known.
 func (c *Client) shardOf(program string) (int, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return shardOf(program, c.sets.shards()), c.sets.whole()
+	return shardOf(program, c.sets.shards()), c.sets.allKnown()
 }
 
-// Copies is one more than the number of disks that may be lost at once; 0 while no replica set is known.
+// Copies returns how many disks must hold each record, which is one more than may be lost at once; 0 while no replica
+// set is known.
 func (c *Client) Copies() int { return c.ReplicaSet().Copies }
 
-// Ready asks the replicas whether enough of them answer in half of the shards. If a shard is lost for long, gateways must
-// not stay away from the callers of the others, be it one of two.
+// Ready reports whether at least half of the shards have a read quorum. A gateway stays ready when some shards are
+// lost, so that it can serve callers of the others; with two shards, one is enough.
 func (c *Client) Ready(ctx context.Context) bool {
-	known := c.allSets()
-	if len(known) == 0 {
+	sets := c.allSets()
+	if len(sets) == 0 {
 		return false
 	}
-	readable := make(chan bool, len(known))
-	for _, set := range known {
+	readable := make(chan bool, len(sets))
+	for _, set := range sets {
 		go func() { readable <- c.readable(ctx, set) }()
 	}
 	ready := 0
-	for range known {
+	for range sets {
 		if <-readable {
 			ready++
 		}
-		if suffices(ready, len(known)) {
+		if atLeastHalf(ready, len(sets)) {
 			return true
 		}
 	}
 	return false
 }
 
-// suffices tells whether a part of the shards is half of them or more.
-func suffices(part, shards int) bool { return 2*part >= shards }
+// atLeastHalf reports whether part is half of the shards or more.
+func atLeastHalf(part, shards int) bool { return 2*part >= shards }
 
-// readable asks the replicas of a shard whether enough of them answer.
+// readable reports whether a read quorum of a shard's replicas responds.
 func (c *Client) readable(ctx context.Context, set ReplicaSet) bool {
-	askContext, stop := context.WithCancel(ctx)
+	requestContext, stop := context.WithCancel(ctx)
 	defer stop()
-	gathering := newGathering(set)
-	for answer := range c.askAll(askContext, set, openRequest{Shard: set.Shard, Epoch: set.Epoch}) {
-		gathering.add(answer)
-		if gathering.newer != nil {
-			c.ApplySet(*gathering.newer)
+	collector := newOpenCollector(set)
+	for reply := range c.callOpenAll(requestContext, set, openRequest{Shard: set.Shard, Epoch: set.Epoch}) {
+		collector.add(reply)
+		if collector.newer != nil {
+			c.ApplySet(*collector.newer)
 		}
-		if gathering.readable() {
+		if collector.readable() {
 			return true
 		}
 	}
@@ -217,38 +220,38 @@
 	return apierr.New(apierr.TurnsUnavailable, apierr.NotRun, format, args...).WithRetryAfter(retryAfterUnavailable)
 }
 
-// Open reserves the turn's tokens and finds the text before it. The error is an apierr.Error with
-// the outcome NotRun: BudgetExceeded, NoSuchTurn or TurnsUnavailable.
-func (c *Client) Open(ctx context.Context, opening OpenParams) (*OpenedTurn, error) {
+// Open reserves the turn's tokens and reads the previous turns. The error is an apierr.Error with the outcome NotRun:
+// BudgetExceeded, NoSuchTurn or TurnsUnavailable.
+func (c *Client) Open(ctx context.Context, params OpenParams) (*OpenedTurn, error) {
 	startedAt := time.Now()
-	shard, err := c.awaitShard(ctx, opening.Program)
+	shard, err := c.awaitShard(ctx, params.Program)
 	if err != nil {
 		return nil, err
 	}
 	timeout := openTimeout
-	if c.reach(shard).lost() {
+	if c.shardHealth(shard).lost() {
 		timeout = lostOpenTimeout
 	}
-	// The wait for the replica sets counts: a caller that is refused in the end is not to be held twice as long.
+	// The timeout includes the wait for the replica sets, or a rejected caller would wait twice as long.
 	openContext, cancel := context.WithDeadline(ctx, startedAt.Add(timeout))
 	defer cancel()
 	opened := &OpenedTurn{
-		Reserved: opening.Budget >= 0 && opening.Program != "",
-		program:  opening.Program,
-		charge:   strconv.FormatUint(rand.Uint64()>>(64-chargeNameBits), 36),
+		Reserved: params.Budget >= 0 && params.Program != "",
+		program:  params.Program,
+		chargeID: strconv.FormatUint(rand.Uint64()>>(64-chargeIDBits), 36),
 	}
-	chain, cached := c.cache.chain(opening.Previous)
+	chain, cached := c.cache.chain(params.Previous)
 	if cached {
-		c.use(opened, chain, shard)
+		c.setChain(opened, chain, shard)
 	}
-	wantText := opening.Previous != "" && !cached
+	wantText := params.Previous != "" && !cached
 	if !opened.Reserved && !wantText {
 		return opened, nil
 	}
-	err = c.openAtReplicas(openContext, shard, opening, opened, wantText)
-	c.noteReach(ctx, shard, err)
+	err = c.openInShard(openContext, shard, params, opened, wantText)
+	c.recordOpenResult(ctx, shard, err)
 	if wantText && apierr.Is(err, apierr.NoSuchTurn) {
-		err = c.openFromOtherShard(openContext, shard, opening, opened)
+		err = c.openFromOtherShards(openContext, shard, params, opened)
 	}
 	if err != nil && opened.Reserved {
 		c.Settle(opened, 0, "")
@@ -259,13 +262,13 @@
 	return opened, nil
 }
 
-// noteReach learns from an opening. One that its caller left says nothing.
-func (c *Client) noteReach(ctx context.Context, shard int, err error) {
+// recordOpenResult updates the shard's health. An open that its caller canceled is not counted as a failure.
+func (c *Client) recordOpenResult(ctx context.Context, shard int, err error) {
 	switch {
 	case !apierr.Is(err, apierr.TurnsUnavailable):
-		c.reach(shard).reached()
+		c.shardHealth(shard).recordSuccess()
 	case ctx.Err() == nil:
-		c.reach(shard).failed(err)
+		c.shardHealth(shard).recordFailure(err)
 	}
 }
 
@@ -282,9 +285,9 @@
 	return shard, nil
 }
 
-// use takes the turns before the one that is opened. Those that lie in another shard are written again with it.
-func (c *Client) use(opened *OpenedTurn, chain []conversation.Turn, shard int) {
-	opened.use(chain)
+// setChain stores the previous turns in an opened turn and marks them as inherited if they belong to another shard.
+func (c *Client) setChain(opened *OpenedTurn, chain []conversation.Turn, shard int) {
+	opened.setChain(chain)
 	if len(chain) == 0 {
 		return
 	}
@@ -292,7 +295,7 @@
 	opened.inherited = home != shard
 }
 
-func (o *OpenedTurn) use(chain []conversation.Turn) {
+func (o *OpenedTurn) setChain(chain []conversation.Turn) {
 	o.chain = chain
 	size := 0
 	for _, turn := range chain {
@@ -305,11 +308,11 @@
 	}
 }
 
-// openAtReplicas tries again with the newer set when a replica knows one.
-func (c *Client) openAtReplicas(ctx context.Context, shard int, opening OpenParams, opened *OpenedTurn, wantText bool) error {
+// openInShard retries with the newer set whenever a replica returns one.
+func (c *Client) openInShard(ctx context.Context, shard int, params OpenParams, opened *OpenedTurn, wantText bool) error {
 	for {
 		set := c.setOf(shard)
-		newer, err := c.openOnce(ctx, set, opening, opened, wantText)
+		newer, err := c.openOnce(ctx, set, params, opened, wantText)
 		if newer == nil {
 			return err
 		}
@@ -317,82 +320,81 @@
 	}
 }
 
-func (c *Client) openOnce(ctx context.Context, set ReplicaSet, opening OpenParams, opened *OpenedTurn, wantText bool) (*ReplicaSet, error) {
+func (c *Client) openOnce(ctx context.Context, set ReplicaSet, params OpenParams, opened *OpenedTurn, wantText bool) (*ReplicaSet, error) {
 	request := openRequest{Shard: set.Shard, Epoch: set.Epoch}
 	if wantText {
-		request.Previous = opening.Previous
+		request.Previous = params.Previous
 	}
 	if opened.Reserved {
-		request.Reserve = &conversation.Charge{Program: opening.Program, Turn: opened.charge, Tokens: opening.Most}
+		request.Reserve = &conversation.Charge{Program: params.Program, Turn: opened.chargeID, Tokens: params.Most}
 	}
-	askContext, stop := context.WithCancel(ctx)
+	requestContext, stop := context.WithCancel(ctx)
 	defer stop()
-	gathering := newGathering(set)
-	answers := c.askForText(askContext, set, request)
-	hedge := time.NewTimer(textHedge)
+	collector := newOpenCollector(set)
+	replies := c.sendOpen(requestContext, set, request)
+	hedge := time.NewTimer(textHedgeDelay)
 	defer hedge.Stop()
 	hedged := false
 	for {
-		if gathering.newer != nil {
-			return gathering.newer, nil
+		if collector.newer != nil {
+			return collector.newer, nil
 		}
-		if done, err := gathering.decide(opening, opened, wantText); done {
+		if done, err := collector.decide(params, opened, wantText); done {
 			if err == nil && wantText {
-				chain := gathering.chain(opening.Previous)
-				c.use(opened, chain, set.Shard)
+				chain := collector.chain(params.Previous)
+				c.setChain(opened, chain, set.Shard)
 				c.cache.addChain(chain)
 			}
 			return nil, err
 		}
-		if !hedged && wantText && gathering.needsText(opening.Previous) {
+		if !hedged && wantText && collector.needsText(params.Previous) {
 			hedged = true
-			c.askOthersForText(askContext, set, opening.Previous, answers)
+			c.requestTextFromOthers(requestContext, set, params.Previous, replies)
 		}
 		select {
-		case answer := <-answers:
-			gathering.add(answer)
+		case reply := <-replies:
+			collector.add(reply)
 		case <-hedge.C:
 			if !hedged && wantText {
 				hedged = true
-				c.askOthersForText(askContext, set, opening.Previous, answers)
+				c.requestTextFromOthers(requestContext, set, params.Previous, replies)
 			}
 		case <-ctx.Done():
-			return nil, unavailable("too few replicas answered: %d of %d, %d complete", len(gathering.answered), len(set.All()), len(gathering.complete))
+			return nil, unavailable("too few replicas answered: %d of %d, %d complete", len(collector.responded), len(set.All()), len(collector.complete))
 		}
 	}
 }
 
-// replicaAnswer is what one replica said.
-type replicaAnswer struct {
+// openReply is one replica's response to an open request.
+type openReply struct {
 	member Member
-	// reserving tells that the question was to reserve as well: only then does the answer count for
-	// the budget.
+	// reserving reports that the request included the reservation: only such a response counts for the budget.
 	reserving bool
-	answer    openAnswer
+	response  openResponse
 	err       error
 }
 
-// askForText asks all replicas, but only the nearest one for the text.
-func (c *Client) askForText(ctx context.Context, set ReplicaSet, request openRequest) chan replicaAnswer {
-	answers := make(chan replicaAnswer, answersQueued)
+// sendOpen sends the request to all replicas, and asks only the nearest one for the text.
+func (c *Client) sendOpen(ctx context.Context, set ReplicaSet, request openRequest) chan openReply {
+	replies := make(chan openReply, responseBuffer)
 	report := c.loadReport()
 	nearest := c.nearest(set)
 	for _, member := range set.All() {
-		mine := request
-		mine.WithText = request.Previous != "" && member.Name == nearest
-		report.addTo(&mine, member)
-		go c.ask(ctx, member, mine, answers)
+		memberRequest := request
+		memberRequest.WithText = request.Previous != "" && member.Name == nearest
+		report.attachTo(&memberRequest, member)
+		go c.callOpen(ctx, member, memberRequest, replies)
 	}
-	c.tellLoad(report, set)
-	return answers
+	c.sendLoad(report, set)
+	return replies
 }
 
-func (c *Client) askOthersForText(ctx context.Context, set ReplicaSet, previous string, answers chan replicaAnswer) {
+func (c *Client) requestTextFromOthers(ctx context.Context, set ReplicaSet, previous string, replies chan openReply) {
 	request := openRequest{Shard: set.Shard, Epoch: set.Epoch, Previous: previous, WithText: true}
 	nearest := c.nearest(set)
 	for _, member := range set.All() {
 		if member.Name != nearest {
-			go c.ask(ctx, member, request, answers)
+			go c.callOpen(ctx, member, request, replies)
 		}
 	}
 }
@@ -407,24 +409,24 @@
 	return all[0].Name
 }
 
-func (c *Client) ask(ctx context.Context, member Member, request openRequest, answers chan<- replicaAnswer) {
-	answer, err := askUntilAnswered[openAnswer](ctx, c.network, member.Address, openKind, request)
-	c.takeLoadNews(answer)
-	answers <- replicaAnswer{member: member, reserving: request.Reserve != nil, answer: answer, err: err}
+func (c *Client) callOpen(ctx context.Context, member Member, request openRequest, replies chan<- openReply) {
+	response, err := callWithRetry[openResponse](ctx, c.network, member.Address, openKind, request)
+	c.receiveLoad(response)
+	replies <- openReply{member: member, reserving: request.Reserve != nil, response: response, err: err}
 }
 
-// askAll yields the answers of all replicas until the context ends.
-func (c *Client) askAll(ctx context.Context, set ReplicaSet, request openRequest) func(yield func(replicaAnswer) bool) {
-	answers := make(chan replicaAnswer, answersQueued)
+// callOpenAll yields the responses of all replicas until the context ends.
+func (c *Client) callOpenAll(ctx context.Context, set ReplicaSet, request openRequest) func(yield func(openReply) bool) {
+	replies := make(chan openReply, responseBuffer)
 	members := set.All()
 	for _, member := range members {
-		go c.ask(ctx, member, request, answers)
+		go c.callOpen(ctx, member, request, replies)
 	}
-	return func(yield func(replicaAnswer) bool) {
+	return func(yield func(openReply) bool) {
 		for range members {
 			select {
-			case answer := <-answers:
-				if !yield(answer) {
+			case reply := <-replies:
+				if !yield(reply) {
 					return
 				}
 			case <-ctx.Done():
--- a/internal/turnstore/cluster_test.go
+++ b/internal/turnstore/cluster_test.go
@@ -29,16 +29,16 @@
 	testTimeout       = 15 * time.Second
 )
 
-// memoryStore is a configstore.Store in memory that tells of new replica sets at once.
+// memoryStore is an in-memory configstore.Store that notifies listeners of new replica sets at once.
 type memoryStore struct {
 	mutex    sync.Mutex
 	entries  map[string]configstore.Entry
 	revision int64
 	down     bool
 	onSet    []func(ReplicaSet)
-	// onCandidate are told of each replica that starts with the system.
+	// onCandidate is called for each replica that registers for bootstrap.
 	onCandidate []func(Member)
-	// swaps counts the changes that were tried.
+	// swaps counts attempted writes.
 	swaps int
 }
 
@@ -75,7 +75,7 @@
 		s.entries[write.Key] = configstore.Entry{Value: write.Value, Revision: s.revision}
 	}
 	s.mutex.Unlock()
-	s.spread()
+	s.notifyListeners()
 	return nil
 }
 
@@ -108,8 +108,8 @@
 	return all
 }
 
-// spread stands for the catalog, which brings each set to all nodes.
-func (s *memoryStore) spread() {
+// notifyListeners stands in for the catalog, which distributes each set to all nodes.
+func (s *memoryStore) notifyListeners() {
 	all := s.sets()
 	s.mutex.Lock()
 	listeners := slices.Clone(s.onSet)
@@ -121,35 +121,35 @@
 	}
 	candidates := s.candidates()
 	s.mutex.Lock()
-	hearers := slices.Clone(s.onCandidate)
+	candidateListeners := slices.Clone(s.onCandidate)
 	s.mutex.Unlock()
-	for _, hearer := range hearers {
+	for _, candidateListener := range candidateListeners {
 		for _, candidate := range candidates {
-			hearer(candidate)
+			candidateListener(candidate)
 		}
 	}
 }
 
-// candidates returns the replicas that have started with the system.
+// candidates returns the replicas registered for bootstrap.
 func (s *memoryStore) candidates() []Member {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var listed []Member
+	var found []Member
 	for key, entry := range s.entries {
 		var candidate Member
 		if strings.HasPrefix(key, testCandidatesKey+"/") && json.Unmarshal(entry.Value, &candidate) == nil {
-			listed = append(listed, candidate)
+			found = append(found, candidate)
 		}
 	}
-	return listed
+	return found
 }
 
-func (s *memoryStore) listenForCandidates(hearer func(Member)) {
+func (s *memoryStore) listenForCandidates(listener func(Member)) {
 	s.mutex.Lock()
-	s.onCandidate = append(s.onCandidate, hearer)
+	s.onCandidate = append(s.onCandidate, listener)
 	s.mutex.Unlock()
 	for _, candidate := range s.candidates() {
-		hearer(candidate)
+		listener(candidate)
 	}
 }
 
@@ -170,13 +170,13 @@
 	done    chan struct{}
 }
 
-// machine is a replica's machine: its address and disk stay while processes come and go.
-// testTextBytes is so little that most texts are read from disk.
+// testTextBytes is so small that most texts are read from disk.
 const testTextBytes = 8
 
-// testZones is how many zones the machines are in, in turn.
+// testZones is the number of zones, to which machines are assigned in rotation.
 const testZones = 3
 
+// machine is the machine of a replica: its address and disk outlive its processes.
 type machine struct {
 	name     string
 	address  string
@@ -187,8 +187,7 @@
 	process  *process
 }
 
-// links are the connections between nodes; those of a node that is cut off are closed, and no new
-// ones are opened.
+// links tracks the connections between nodes. Cutting off a node closes its connections and prevents new ones.
 type links struct {
 	mutex sync.Mutex
 	cut   map[string]bool
@@ -218,7 +217,7 @@
 	}
 }
 
-// set cuts a node's address off, or joins it again.
+// set cuts off an address or reconnects it.
 func (l *links) set(address string, cut bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -231,20 +230,20 @@
 	}
 }
 
-// cluster is some replicas and a client on loopback.
+// cluster is a set of replicas and a client on loopback.
 type cluster struct {
 	t        *testing.T
 	links    links
 	store    *memoryStore
 	machines []*machine
-	// machinesMutex guards changes of machines against the replicas' questions.
+	// machinesMutex guards changes of machines against concurrent reads by the replicas.
 	machinesMutex sync.Mutex
 	client        *Client
 	started       bool
 	size          int
 }
 
-// isRetiring tells whether the named machine is to be emptied.
+// isRetiring reports whether the named machine is being retired.
 func (c *cluster) isRetiring(name string) bool {
 	c.machinesMutex.Lock()
 	defer c.machinesMutex.Unlock()
@@ -261,28 +260,28 @@
 	return newClusterWithSpares(t, size, 0)
 }
 
-// newClusterWithSpares starts more machines than the replica set has members, in three zones.
+// newClusterWithSpares starts size members and some spares in three zones.
 func newClusterWithSpares(t *testing.T, size, spares int) *cluster {
 	t.Helper()
-	created := &cluster{t: t, store: newMemoryStore(), size: size}
-	created.links = links{cut: make(map[string]bool), open: make(map[net.Conn][2]string)}
+	c := &cluster{t: t, store: newMemoryStore(), size: size}
+	c.links = links{cut: make(map[string]bool), open: make(map[net.Conn][2]string)}
 	for index := range size + spares {
-		created.add(fmt.Sprintf("replica-%d", index))
+		c.add(fmt.Sprintf("replica-%d", index))
 	}
-	created.client = created.newClient()
-	eventually(t, "the replica set has its members", func() bool { return len(created.store.set().Members) == size })
+	c.client = c.newClient()
+	eventually(t, "the replica set has its members", func() bool { return len(c.store.set().Members) == size })
 	eventually(t, "the client is ready", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		return created.client.Ready(ctx)
+		return c.client.Ready(ctx)
 	})
-	created.started = true
-	return created
+	c.started = true
+	return c
 }
 
 func (c *cluster) newClient() *Client { return c.newClientWith("client", nil) }
 
-// newClientWith returns a client of a gateway with a name that exchanges load.
+// newClientWith returns a client of the named gateway that exchanges load.
 func (c *cluster) newClientWith(name string, exchange LoadExchange) *Client {
 	network := transport.New(transport.Options{Cluster: "test", NodeID: name, Logger: events.Discard(), Dial: c.links.dialFrom("client")})
 	c.t.Cleanup(network.Close)
@@ -377,7 +376,7 @@
 	}}}))
 }
 
-// read opens a turn after previous through a client without a cache.
+// read opens a turn after previous through a new client with an empty cache.
 func (c *cluster) read(previous string) (*OpenedTurn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -401,7 +400,7 @@
 	return m.process.replica.size().turns
 }
 
-// idle tells that no charge is being settled.
+// idle reports that no charge is being settled.
 func (c *Client) idle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -416,7 +415,7 @@
 	return found
 }
 
-// find returns the machine with a name, or nil.
+// find returns the named machine, or nil.
 func (c *cluster) find(name string) *machine {
 	for _, m := range c.machines {
 		if m.name == name {
@@ -426,12 +425,11 @@
 	return nil
 }
 
-// memoryRoot is where Linux keeps a file system in memory.
+// memoryRoot is a file system in memory on Linux.
 const memoryRoot = "/dev/shm"
 
-// memoryFolder returns a folder that does not wait for the machine's disk. Beside other work a sync of a few kilobytes can
-// take seconds there (3.03 s were measured beside a bench), and a test whose subject is how nodes act together would
-// fail for the machine's sake. Disks that are slow or stand still are made by the tests that are about them.
+// memoryFolder returns a folder on a file system in memory, so that slow syncs of a busy machine's disk don't fail
+// tests of replication. Tests about slow disks simulate them.
 func memoryFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp(memoryRoot, "mountstile-test-")
--- a/internal/turnstore/folder.go
+++ b/internal/turnstore/folder.go
@@ -18,18 +18,19 @@
 	folderMode     = 0o700
 )
 
-// folderRecord is what a replica must know of itself after a restart.
+// folderRecord is the replica's metadata that survives a restart.
 type folderRecord struct {
-	// Identity is drawn when the folder is empty: a replica with a lost disk is another one.
+	// Identity is generated when the folder is empty: a replica that lost its disk gets a new one.
 	Identity string `json:"identity"`
-	// Complete means that what this replica doesn't know was never written, or is with others.
+	// Complete means that this replica counts toward read quorums: a record that it lacks was never written or is held
+	// by others.
 	Complete bool `json:"complete"`
-	// Assigned tells that the replica holds the shard of ReplicaSet.
+	// Assigned reports that the replica holds the shard of ReplicaSet.
 	Assigned   bool       `json:"assigned,omitempty"`
 	ReplicaSet ReplicaSet `json:"set"`
 }
 
-// folder is the data folder of a replica.
+// folder is a replica's data folder.
 type folder struct {
 	path string
 
@@ -37,7 +38,7 @@
 	stored folderRecord
 }
 
-// openFolder reads the folder's record, or makes one if the folder is empty.
+// openFolder reads the folder's record, or creates one if there is none.
 func openFolder(path string, firstStart bool) (*folder, error) {
 	opened := &folder{path: path}
 	if err := os.MkdirAll(path, folderMode); err != nil {
@@ -52,7 +53,7 @@
 	}
 	opened.stored = folderRecord{Identity: uuid.NewString(), Complete: firstStart}
 	if err := opened.save(); err != nil {
-		// A full disk must not keep the replica from serving what others ask; it is not complete.
+		// A full disk must not stop the replica from serving reads, but it does not count as complete.
 		opened.stored.Complete = false
 	}
 	return opened, nil
@@ -68,30 +69,30 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.stored.ReplicaSet.Epoch > 0 && set.Shard != f.stored.ReplicaSet.Shard {
-		return errors.WithStack(errOtherShard{})
+		return errors.WithStack(errWrongShard{})
 	}
 	if set.Epoch <= f.stored.ReplicaSet.Epoch {
 		return nil
 	}
-	before := f.stored.ReplicaSet
+	previous := f.stored.ReplicaSet
 	f.stored.ReplicaSet = set
 	if err := f.save(); err != nil {
-		f.stored.ReplicaSet = before
+		f.stored.ReplicaSet = previous
 		return err
 	}
 	return nil
 }
 
-// saveShard notes that the replica holds a shard from now on. If it held another one, it is not complete any more.
+// saveShard persists the shard assignment. A replica that moves from another shard is no longer complete.
 func (f *folder) saveShard(set ReplicaSet) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	before := f.stored
-	f.stored.Complete = before.Complete && (!before.Assigned || before.ReplicaSet.Shard == set.Shard)
+	previous := f.stored
+	f.stored.Complete = previous.Complete && (!previous.Assigned || previous.ReplicaSet.Shard == set.Shard)
 	f.stored.Assigned = true
 	f.stored.ReplicaSet = set
 	if err := f.save(); err != nil {
-		f.stored = before
+		f.stored = previous
 		return err
 	}
 	return nil
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// save replaces the file: the new one is synced before it gets the name, and the name after.
+// save replaces the file atomically: it syncs the new file, renames it, then syncs the folder.
 func (f *folder) save() error {
 	data, err := json.Marshal(f.stored)
 	if err != nil {
--- a/internal/turnstore/reach_test.go
+++ b/internal/turnstore/health_test.go
@@ -15,9 +15,9 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// A client that is cut off from the replicas knows it after a few openings, refuses further ones soon, and
-// finds by itself that they are back.
-func TestClientKnowsThatReplicasAreOutOfReach(t *testing.T) {
+// A client that loses all replicas notices it after a few opens, then rejects opens quickly, and detects by itself when
+// the replicas are back.
+func TestClientDetectsLostReplicas(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	client := c.newClient()
@@ -30,8 +30,8 @@
 		c.links.set(m.address, true)
 	}
 	assert.Assert(t, apierr.Is(c.reserve(client, "first", 100, 1), apierr.TurnsUnavailable))
-	assert.Assert(t, !client.ShardHealthy(""), "one opening that met too few replicas is enough to be careful")
-	eventually(t, "the client knows", func() bool {
+	assert.Assert(t, !client.ShardHealthy(""), "one failed open must make the shard unhealthy")
+	eventually(t, "the client detects the loss", func() bool {
 		return apierr.Is(c.reserve(client, "two", 100, 1), apierr.TurnsUnavailable) && !client.Reachable()
 	})
 	startedAt := time.Now()
@@ -40,13 +40,13 @@
 	for _, m := range c.machines {
 		c.links.set(m.address, false)
 	}
-	eventually(t, "the client finds them again", client.Reachable)
+	eventually(t, "the client detects the recovery", client.Reachable)
 	assert.NilError(t, c.reserve(client, "four", 100, 1))
 	assert.Assert(t, client.ShardHealthy(""))
 }
 
-// A gateway that reaches no replica goes on through another gateway, and stays ready.
-func TestClientGoesRoundACut(t *testing.T) {
+// A gateway that is cut off from all replicas continues through another gateway and stays ready.
+func TestClientRelaysAroundPartition(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,8 +74,8 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go network.KeepRelays(ctx, func() []string { return []string{c.machines[0].address, c.machines[1].address} })
-	eventually(t, "it opens turns before the cut", func() bool { return c.reserve(client, "before", 1000, 1) == nil })
-	eventually(t, "it knows the relay", func() bool { return network.Relays() == 1 })
+	eventually(t, "turns can be opened before the partition", func() bool { return c.reserve(client, "before", 1000, 1) == nil })
+	eventually(t, "the relay is known", func() bool { return network.Relays() == 1 })
 
 	c.links.set(self, true)
 	for turn := range 5 {
@@ -88,8 +88,8 @@
 	assert.Equal(t, string(opened.Prefix), "a;")
 }
 
-// A turn that comes before any replica set is known is refused in time.
-func TestOpeningIsRefusedIfNoReplicaSetComes(t *testing.T) {
+// An open before any replica set is known fails within its timeout.
+func TestOpenFailsWithoutReplicaSet(t *testing.T) {
 	t.Parallel()
 	network := transport.New(transport.Options{Cluster: "test", NodeID: "client", Logger: events.Discard()})
 	t.Cleanup(network.Close)
@@ -99,5 +99,5 @@
 	assert.Assert(t, apierr.Is(err, apierr.TurnsUnavailable), "%v", err)
 	assert.Equal(t, apierr.From(err, apierr.OutcomeUnknown).Outcome, apierr.NotRun)
 	took := time.Since(startedAt)
-	assert.Assert(t, took >= openTimeout && took < 2*openTimeout, "refused after %s", took)
+	assert.Assert(t, took >= openTimeout && took < 2*openTimeout, "failed after %s", took)
 }
--- /dev/null
+++ b/internal/turnstore/loadexchange.go
@@ -0,0 +1,142 @@
+package turnstore
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/mountstile/mountstile/internal/load"
+	"github.com/mountstile/mountstile/internal/transport"
+)
+
+// loadTimeout bounds a report that is sent by itself; older counts are stale.
+const loadTimeout = 500 * time.Millisecond
+
+// loadReport is the load report attached to one open; the zero value is none.
+type loadReport struct {
+	gateway string
+	sheet   *load.Sheet
+	// targets are the replicas that receive the report: the first of each zone in the first shard's set. Each collects
+	// the reports of all gateways.
+	targets []Member
+	// epoch is the epoch of the first shard's set.
+	epoch int64
+	// source is the replica that is asked for the others' load.
+	source string
+}
+
+// loadReport returns a report, or the zero value if none is due.
+func (c *Client) loadReport() loadReport {
+	if c.options.Load == nil || !c.loadPacer.Due(time.Now()) {
+		return loadReport{}
+	}
+	set := c.ReplicaSet()
+	sheet := c.options.Load.Report()
+	report := loadReport{gateway: c.network.NodeID(), sheet: &sheet, epoch: set.Epoch}
+	for _, member := range set.All() {
+		if set.firstOfZone(member) {
+			report.targets = append(report.targets, member)
+		}
+	}
+	report.source = c.loadSource.choose(report.targets, c.options.Zone)
+	c.loadPacer.Spent(len(report.targets) * encodedSize(sheet))
+	return report
+}
+
+// attachTo attaches the report to an open request if the member is a target.
+func (l loadReport) attachTo(request *openRequest, member Member) {
+	if contains(l.targets, member.Name) {
+		request.Gateway = l.gateway
+		request.Load = l.sheet
+		request.WantLoad = member.Name == l.source
+	}
+}
+
+// sendLoad sends a report to the targets that are not in set and so don't get it with an open request.
+func (c *Client) sendLoad(report loadReport, set ReplicaSet) {
+	for _, target := range report.targets {
+		if set.Has(target.Name) {
+			continue
+		}
+		request := openRequest{Epoch: report.epoch}
+		report.attachTo(&request, target)
+		go func() {
+			ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
+			defer cancel()
+			// A lost report is replaced by the next one.
+			if response, err := transport.Call[openResponse](ctx, c.network, target.Address, openKind, request); err == nil {
+				c.receiveLoad(response)
+			}
+		}()
+	}
+}
+
+// loadSourceSelector selects the replica that is asked for the others' load: that of the own zone, or the next one if
+// the previous request has not been answered yet. So a lost replica interrupts the updates only briefly.
+type loadSourceSelector struct {
+	mutex   sync.Mutex
+	offset  int
+	pending bool
+}
+
+func (s *loadSourceSelector) choose(targets []Member, zone string) string {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(targets) == 0 {
+		return ""
+	}
+	if s.pending {
+		s.offset++
+	}
+	s.pending = true
+	own := max(slices.IndexFunc(targets, func(member Member) bool { return member.Zone == zone }), 0)
+	return targets[(own+s.offset)%len(targets)].Name
+}
+
+// responded notes that the request was answered.
+func (s *loadSourceSelector) responded() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.pending = false
+}
+
+// receiveLoad passes on the other gateways' load, if the response has it.
+func (c *Client) receiveLoad(response openResponse) {
+	if c.options.Load == nil || response.Load == nil {
+		return
+	}
+	c.loadSource.responded()
+	c.options.Load.Take(time.Now(), *response.Load)
+	c.loadPacer.Spent(encodedSize(*response.Load))
+}
+
+// encodedSize returns the size of a sheet on the wire, in bytes.
+func encodedSize(sheet load.Sheet) int {
+	encoded, err := json.Marshal(sheet)
+	if err != nil {
+		return 0
+	}
+	return len(encoded)
+}
+
+// exchangeLoad stores a gateway's report and returns the others' load if the request asks for it.
+func (r *Replica) exchangeLoad(request openRequest) *load.Sheet {
+	if request.Load == nil {
+		return nil
+	}
+	others := r.board.Exchange(time.Now(), request.Gateway, *request.Load)
+	if !request.WantLoad {
+		return nil
+	}
+	return &others
+}
+
+// serveOpen handles an open request and the load exchange attached to it.
+func (r *Replica) serveOpen(ctx context.Context, _ transport.Peer, request openRequest) (openResponse, error) {
+	others := r.exchangeLoad(request)
+	response, err := r.open(ctx, request)
+	response.Load = others
+	return response, err
+}
--- a/internal/turnstore/membership.go
+++ b/internal/turnstore/membership.go
@@ -16,39 +16,40 @@
 )
 
 const (
-	// membershipInterval is how often a replica looks whether the set must change.
+	// membershipInterval is how often a replica checks whether the set must change.
 	membershipInterval = 200 * time.Millisecond
-	// silentAfter is how long a member must be silent before a newcomer takes its place, or its
-	// unfinished change is taken back.
-	silentAfter = 2500 * time.Millisecond
-	// touchWithin is how old the last word of a member may be that counts as heard. It is more than the time between
-	// two questions, and so much less than silentAfter that a replica which is cut off knows that before it
-	// takes others for silent.
-	touchWithin = 1400 * time.Millisecond
-	// storeTimeout bounds one call of the store.
+	// memberTimeout is how long a member must be silent before it is replaced, or before its unfinished change is
+	// aborted.
+	memberTimeout = 2500 * time.Millisecond
+	// contactWindow is how recent a member's last response must be to count as contact. It exceeds the heartbeat
+	// interval, and is so much shorter than memberTimeout that a partitioned replica notices its own partition before
+	// it considers others lost.
+	contactWindow = 1400 * time.Millisecond
+	// storeTimeout bounds one call to the configuration store.
 	storeTimeout = time.Second
-	// candidatesSettle is how long the list of candidates must rest before the first set is made.
-	candidatesSettle = 800 * time.Millisecond
-	// candidatesPatience is how long a list that is too short is waited for.
-	candidatesPatience = 4 * time.Second
-	// firstSetsInterval is how often the first sets are tried to be made.
-	firstSetsInterval = time.Second
+	// candidateQuietPeriod is how long the list of candidates must be unchanged before the first sets are created.
+	candidateQuietPeriod = 800 * time.Millisecond
+	// candidateTimeout is how long to wait for more candidates than the minimum, and for the first candidate to create
+	// the sets.
+	candidateTimeout = 4 * time.Second
+	// bootstrapInterval is the delay between attempts to create the first sets.
+	bootstrapInterval = time.Second
 	fenceTimeout      = time.Second
 )
 
-// bootstrapState is what a replica has seen of the candidates.
+// bootstrapState tracks the candidates that this replica has seen.
 type bootstrapState struct {
 	startedAt time.Time
 	changedAt time.Time
 	count     int
-	// nextTryAt is when the first sets may be tried to be made again.
-	nextTryAt time.Time
+	// nextAttemptAt is the earliest time of the next attempt to create the first sets.
+	nextAttemptAt time.Time
 }
 
-// membershipLoop changes the replica set when this replica must join, leave or take back a change.
+// membershipLoop changes the replica set when this replica must join, leave or abort another's change.
 func (r *Replica) membershipLoop(ctx context.Context) {
 	now := time.Now()
-	start := &bootstrapState{startedAt: now, changedAt: now}
+	state := &bootstrapState{startedAt: now, changedAt: now}
 	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	for {
@@ -57,86 +58,85 @@
 			return
 		case <-ticker.C:
 		}
-		if err := r.membershipStep(ctx, start); err != nil {
+		if err := r.membershipStep(ctx, state); err != nil {
 			r.logger.Emit(events.ReplicaSetStep, events.F("error", err), events.F("epoch", r.ReplicaSet().Epoch))
 		}
 	}
 }
 
-func (r *Replica) membershipStep(ctx context.Context, start *bootstrapState) error {
+func (r *Replica) membershipStep(ctx context.Context, state *bootstrapState) error {
 	self := r.options.Self.Name
 	retiring := r.options.IsRetiring(self)
 	for _, set := range r.otherSets(noShard) {
-		r.noteTouch(set)
+		r.updateContact(set)
 	}
-	if err := r.keepShard(retiring); err != nil {
+	if err := r.updateShard(retiring); err != nil {
 		r.logger.Emit(events.ReplicaLogFailed, events.F("error", err))
 	}
 	set := r.ReplicaSet()
 	if !retiring {
-		r.takePartAgain()
+		r.resetRetirement()
 	}
 	switch {
 	case set.Epoch == 0:
 		if !r.options.FirstStart {
 			return nil
 		}
-		return r.bootstrap(ctx, start)
+		return r.bootstrap(ctx, state)
 	case retiring:
 		return r.retire(ctx, set)
 	case set.Changing() && set.ChangedBy == self && !contains(set.Next, self):
-		// This replica was leaving, and is not to any more, or has not heard of it again since it started.
-		return r.stay(ctx, set)
+		// This replica was leaving, but its retirement was withdrawn, or it restarted and does not know of it yet.
+		return r.cancelRetirement(ctx, set)
 	case set.Changing() && set.ChangedBy == self:
 		return r.finishJoin(ctx, set)
 	case set.Changing():
-		return r.takeBack(ctx, set)
+		return r.abortChange(ctx, set)
 	case !set.Has(self):
-		return r.join(ctx, set, start.startedAt)
+		return r.join(ctx, set, state.startedAt)
 	case r.addressChanged(set):
 		return r.updateAddress(ctx, set)
 	}
 	return nil
 }
 
-// bootstrap makes the first sets from all replicas that have started with the system. Each writes a key of its own, and
-// hears of the others as of all else in the store: thirty-six that changed one list took 7.8 s, for each change
-// made most of the others' tries fail.
-func (r *Replica) bootstrap(ctx context.Context, start *bootstrapState) error {
+// bootstrap creates the first sets from all replicas that started with the system. Each candidate writes a key of its
+// own, because concurrent updates of one shared list would conflict with each other.
+func (r *Replica) bootstrap(ctx context.Context, state *bootstrapState) error {
 	now := time.Now()
-	listed := r.listCandidates()
-	if !contains(listed, r.options.Self.Name) {
-		return r.becomeCandidate(ctx)
+	candidates := r.listCandidates()
+	if !contains(candidates, r.options.Self.Name) {
+		return r.registerCandidate(ctx)
 	}
-	if len(listed) != start.count {
-		start.count = len(listed)
-		start.changedAt = now
+	if len(candidates) != state.count {
+		state.count = len(candidates)
+		state.changedAt = now
 	}
-	if now.Before(start.nextTryAt) || !r.mayBootstrap(now, start, listed) {
+	if now.Before(state.nextAttemptAt) || !r.mayBootstrap(now, state, candidates) {
 		return nil
 	}
-	start.nextTryAt = now.Add(firstSetsInterval)
-	return r.makeFirstSets(ctx, listed)
+	state.nextAttemptAt = now.Add(bootstrapInterval)
+	return r.createInitialSets(ctx, candidates)
 }
 
-// ApplyCandidate hears of a replica that has started with the system.
+// ApplyCandidate adds a replica that started with the system to the candidates for the first sets.
 func (r *Replica) ApplyCandidate(candidate Member) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.candidates[candidate.Name] = candidate
 }
 
-// listCandidates returns the known candidates in the order of their names.
+// listCandidates returns the known candidates, sorted by name.
 func (r *Replica) listCandidates() []Member {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	listed := slices.Collect(maps.Values(r.candidates))
-	slices.SortFunc(listed, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return listed
+	sorted := slices.Collect(maps.Values(r.candidates))
+	slices.SortFunc(sorted, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return sorted
 }
 
-// becomeCandidate writes this replica's key, unless an earlier try did that whose answer was lost.
-func (r *Replica) becomeCandidate(ctx context.Context) error {
+// registerCandidate writes this replica's candidate key. A conflict means that an earlier attempt succeeded.
+func (r *Replica) registerCandidate(ctx context.Context) error {
 	err := r.swap(ctx, r.options.CandidatesKey+"/"+r.options.Self.Name, 0, r.options.Self)
 	var conflict *configstore.ErrConflict
 	if err != nil && !errors.As(err, &conflict) {
@@ -146,10 +146,10 @@
 	return nil
 }
 
-// makeFirstSets writes the sets of all shards in one change, unless somebody has.
-func (r *Replica) makeFirstSets(ctx context.Context, listed []Member) error {
+// createInitialSets writes the sets of all shards in one transaction, unless another candidate has.
+func (r *Replica) createInitialSets(ctx context.Context, candidates []Member) error {
 	var writes []configstore.Write
-	for _, set := range firstSets(listed, r.options.Size, r.options.Copies) {
+	for _, set := range initialSets(candidates, r.options.Size, r.options.Copies) {
 		encoded, err := json.Marshal(set)
 		if err != nil {
 			return errors.Wrap(err, "replica set")
@@ -161,32 +161,32 @@
 	return r.options.Store.CompareAndSwap(callContext, r.options.SetKey, 0, writes)
 }
 
-// mayBootstrap leaves the first set to the first candidate, as long as that one may be alive.
-func (r *Replica) mayBootstrap(now time.Time, start *bootstrapState, members []Member) bool {
-	rested := now.Sub(start.changedAt)
-	if len(members) < r.options.Copies || rested < candidatesSettle {
+// mayBootstrap reports whether this replica may create the first sets. The first candidate goes ahead; the others wait
+// longer, in case it is lost.
+func (r *Replica) mayBootstrap(now time.Time, state *bootstrapState, candidates []Member) bool {
+	unchangedFor := now.Sub(state.changedAt)
+	if len(candidates) < r.options.Copies || unchangedFor < candidateQuietPeriod {
 		return false
 	}
-	if len(members) == r.options.Copies && now.Sub(start.startedAt) < candidatesPatience {
+	if len(candidates) == r.options.Copies && now.Sub(state.startedAt) < candidateTimeout {
 		return false
 	}
-	return members[0].Name == r.options.Self.Name || rested > candidatesPatience
+	return candidates[0].Name == r.options.Self.Name || unchangedFor > candidateTimeout
 }
 
-// join makes this replica a member once it has everything: in the place of a silent member or of one that is to be
-// emptied, or to fill the set. Without the second, the set had a member less between the leaving and the joining, and two
-// losses that five members bear stopped all turns.
+// join makes this replica a member once it has caught up: it replaces a lost or retiring member, or fills a vacancy. A
+// retiring member is replaced before it leaves, so that the set, and with it the fault tolerance, never shrinks.
 func (r *Replica) join(ctx context.Context, set ReplicaSet, startedAt time.Time) error {
 	r.mutex.Lock()
-	ready := r.pulledEnough(startedAt)
+	ready := r.pulledReadQuorum(startedAt)
 	r.mutex.Unlock()
-	if !ready || r.inTouchFor(set) == 0 {
+	if !ready || r.quorumContactFor(set) == 0 {
 		return nil
 	}
 	next := set.Members
-	if silent := r.silentMember(set.Members); silent != "" && r.inTouchFor(set) > silentAfter {
-		next = without(next, silent)
-	} else if retiring := r.retiringMember(set.Members); retiring != "" && r.hearsAll(set.Members) {
+	if timedOut := r.timedOutMember(set.Members); timedOut != "" && r.quorumContactFor(set) > memberTimeout {
+		next = without(next, timedOut)
+	} else if retiring := r.retiringMember(set.Members); retiring != "" && r.hasContactWithAll(set.Members) {
 		next = without(next, retiring)
 	} else if len(set.Members) >= set.Size {
 		return nil
@@ -202,7 +202,7 @@
 	return r.finishJoin(ctx, joint)
 }
 
-// retiringMember returns a member that is to be emptied.
+// retiringMember returns the name of a member that is being retired, or "".
 func (r *Replica) retiringMember(members []Member) string {
 	for _, member := range members {
 		if r.options.IsRetiring(member.Name) {
@@ -212,8 +212,8 @@
 	return ""
 }
 
-// finishJoin brings a change of ours to its end: no replica takes part in the old epoch any more,
-// then what was written in it is pulled, then the new set stands alone.
+// finishJoin completes this replica's change: it fences the old epoch, pulls what was written in it, then makes the new
+// set the only one.
 func (r *Replica) finishJoin(ctx context.Context, joint ReplicaSet) error {
 	if !r.fence(ctx, joint) {
 		return nil
@@ -221,7 +221,7 @@
 	fencedAt := time.Now()
 	r.pullAll(ctx)
 	r.mutex.Lock()
-	ready := r.pulledEnough(fencedAt)
+	ready := r.pulledReadQuorum(fencedAt)
 	r.mutex.Unlock()
 	if !ready {
 		return nil
@@ -229,10 +229,10 @@
 	if err := r.folder.saveComplete(); err != nil {
 		return err
 	}
-	return r.replaceSet(ctx, joint, finished(joint))
+	return r.replaceSet(ctx, joint, completedChange(joint))
 }
 
-func finished(joint ReplicaSet) ReplicaSet {
+func completedChange(joint ReplicaSet) ReplicaSet {
 	final := joint
 	final.Epoch++
 	final.Members = joint.Next
@@ -241,7 +241,7 @@
 	return final
 }
 
-// fence makes so many members know the set that no write of an older epoch can succeed.
+// fence distributes a set to so many members that no write of an older epoch can reach a quorum.
 func (r *Replica) fence(ctx context.Context, set ReplicaSet) bool {
 	fenced := map[string]bool{}
 	if r.folder.saveSet(set) == nil {
@@ -249,29 +249,28 @@
 	}
 	for _, member := range without(set.All(), r.options.Self.Name) {
 		callContext, cancel := context.WithTimeout(ctx, fenceTimeout)
-		answer, err := transport.Call[fenceAnswer](callContext, r.network, member.Address, fenceKind, fenceRequest{ReplicaSet: set})
+		response, err := transport.Call[fenceResponse](callContext, r.network, member.Address, fenceKind, fenceRequest{ReplicaSet: set})
 		cancel()
-		if err == nil && answer.Epoch >= set.Epoch {
+		if err == nil && response.Epoch >= set.Epoch {
 			fenced[member.Name] = true
 		}
 	}
-	return set.Read(fenced)
+	return set.HasReadQuorum(fenced)
 }
 
-// takeBack ends a change whose replica has gone silent; what was written meanwhile counts in the
-// old set, too.
-func (r *Replica) takeBack(ctx context.Context, set ReplicaSet) error {
+// abortChange aborts a change whose initiator is lost. Writes made during the change were stored in the old set, too.
+func (r *Replica) abortChange(ctx context.Context, set ReplicaSet) error {
 	r.mutex.Lock()
-	silent := r.silent(set.ChangedBy)
+	timedOut := r.timedOut(set.ChangedBy)
 	r.mutex.Unlock()
-	if !silent || r.inTouchFor(set) < silentAfter {
+	if !timedOut || r.quorumContactFor(set) < memberTimeout {
 		return nil
 	}
-	return r.replaceSet(ctx, set, takenBack(set))
+	return r.replaceSet(ctx, set, abortedChange(set))
 }
 
-// takenBack is the set without the change that is under way.
-func takenBack(joint ReplicaSet) ReplicaSet {
+// abortedChange returns the set without its pending change.
+func abortedChange(joint ReplicaSet) ReplicaSet {
 	old := joint
 	old.Epoch++
 	old.Next = nil
@@ -295,80 +294,80 @@
 	return r.replaceSet(ctx, set, next)
 }
 
-// noteTouch keeps since when this replica has heard enough members. A replica for which others are silent may be
-// the one that is cut off, while it still reaches the store, or one whose ways are just coming back, one by
-// one. It must not take anybody's place then.
-func (r *Replica) noteTouch(set ReplicaSet) {
+// updateContact tracks since when this replica has had contact with a quorum. A replica to which others seem lost may
+// itself be partitioned while it still reaches the store, or its connections may be coming back one by one; it must not
+// replace a member then.
+func (r *Replica) updateContact(set ReplicaSet) {
 	switch {
-	case !r.hearsEnough(set):
-		delete(r.inTouchSince, set.Shard)
-	case r.inTouchSince[set.Shard].IsZero():
-		r.inTouchSince[set.Shard] = time.Now()
+	case !r.hasQuorumContact(set):
+		delete(r.quorumContactSince, set.Shard)
+	case r.quorumContactSince[set.Shard].IsZero():
+		r.quorumContactSince[set.Shard] = time.Now()
 	}
 }
 
-// inTouchFor is for how long this replica has heard enough members of a set; 0 if it does not.
-func (r *Replica) inTouchFor(set ReplicaSet) time.Duration {
-	since := r.inTouchSince[set.Shard]
+// quorumContactFor returns how long this replica has had contact with a read quorum of a set; 0 if it has none.
+func (r *Replica) quorumContactFor(set ReplicaSet) time.Duration {
+	since := r.quorumContactSince[set.Shard]
 	if since.IsZero() {
 		return 0
 	}
 	return time.Since(since)
 }
 
-// hearsEnough tells whether so many members were heard of late that a read would succeed.
-func (r *Replica) hearsEnough(set ReplicaSet) bool {
-	heard := map[string]bool{r.options.Self.Name: true}
+// hasQuorumContact reports whether a read quorum of members, counting this replica, responded recently.
+func (r *Replica) hasQuorumContact(set ReplicaSet) bool {
+	recent := map[string]bool{r.options.Self.Name: true}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for name, progress := range r.peers {
-		if !progress.heardAt.IsZero() && time.Since(progress.heardAt) < touchWithin {
-			heard[name] = true
+		if !progress.lastResponseAt.IsZero() && time.Since(progress.lastResponseAt) < contactWindow {
+			recent[name] = true
 		}
 	}
-	return set.Read(heard)
+	return set.HasReadQuorum(recent)
 }
 
-// hearsAll tells whether all members were heard of late. The place of one that may be lost is more urgent to take than that
-// of one which is still there.
-func (r *Replica) hearsAll(members []Member) bool {
+// hasContactWithAll reports whether all members responded recently. Replacing a lost member is more urgent than
+// replacing one that is still there.
+func (r *Replica) hasContactWithAll(members []Member) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, member := range without(members, r.options.Self.Name) {
 		progress := r.peers[member.Name]
-		if progress == nil || time.Since(progress.heardAt) > touchWithin {
+		if progress == nil || time.Since(progress.lastResponseAt) > contactWindow {
 			return false
 		}
 	}
 	return true
 }
 
-// silentMember returns a member that has not been heard for long.
-func (r *Replica) silentMember(members []Member) string {
+// timedOutMember returns the name of a member that has timed out, or "".
+func (r *Replica) timedOutMember(members []Member) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, member := range members {
-		if member.Name != r.options.Self.Name && r.silent(member.Name) {
+		if member.Name != r.options.Self.Name && r.timedOut(member.Name) {
 			return member.Name
 		}
 	}
 	return ""
 }
 
-// silent needs the mutex.
-func (r *Replica) silent(name string) bool {
+// timedOut reports whether a peer has been silent for memberTimeout despite requests. The caller holds the mutex.
+func (r *Replica) timedOut(name string) bool {
 	progress := r.peers[name]
-	if progress == nil || progress.appending || time.Since(progress.askedAt) > silentAfter {
+	if progress == nil || progress.appending || time.Since(progress.lastRequestAt) > memberTimeout {
 		return false
 	}
-	last := progress.heardAt
-	if progress.firstAskedAt.After(last) {
-		last = progress.firstAskedAt
+	lastContact := progress.lastResponseAt
+	if progress.firstRequestAt.After(lastContact) {
+		lastContact = progress.firstRequestAt
 	}
-	return time.Since(last) > silentAfter
+	return time.Since(lastContact) > memberTimeout
 }
 
-// replaceSet writes a set if the store still has the one that it follows.
+// replaceSet writes a set if the store still has its predecessor.
 func (r *Replica) replaceSet(ctx context.Context, old, next ReplicaSet) error {
 	key := setKey(r.options.SetKey, old.Shard)
 	entry, err := r.get(ctx, key)
@@ -390,7 +389,7 @@
 	return nil
 }
 
-// ErrSetChanged means that the replica set in the store is not the one that was to be replaced.
+// ErrSetChanged means that the store's replica set is not the one to be replaced; Epoch is the stored one.
 type ErrSetChanged struct{ Epoch int64 }
 
 // Error implements error.
--- a/internal/turnstore/messages.go
+++ b/internal/turnstore/messages.go
@@ -5,7 +5,7 @@
 	"github.com/mountstile/mountstile/internal/load"
 )
 
-// The kinds of messages.
+// Message kinds.
 const (
 	openKind   = "turns.open"
 	putKind    = "turns.put"
@@ -14,30 +14,30 @@
 	fenceKind  = "turns.fence"
 )
 
-// openRequest reserves a turn's tokens and asks what a replica knows of the turn before it.
+// openRequest reserves a turn's tokens and reads the turn before it.
 type openRequest struct {
 	Shard int   `json:"s,omitempty"`
 	Epoch int64 `json:"e"`
 	// Reserve is nil if the program has no budget.
 	Reserve  *conversation.Charge `json:"r,omitempty"`
 	Previous string               `json:"p,omitempty"`
-	// WithText asks for the turns of the chain, not only whether the turn is known.
+	// WithText requests the turns of the chain, not only whether the previous turn is known.
 	WithText bool `json:"t,omitempty"`
-	// Gateway names the node that reports its load: what is relayed comes from another one.
+	// Gateway is the node that reports its load. Relayed requests come from another node.
 	Gateway string `json:"f,omitempty"`
-	// Load is the gateway's report of its calls in flight, nil if it makes none this time; LoadNews asks for the sum of the
-	// others' reports.
+	// Load is the gateway's report of its calls in flight, or nil; WantLoad requests the sum of the other gateways'
+	// reports.
 	Load     *load.Sheet `json:"l,omitempty"`
-	LoadNews bool        `json:"w,omitempty"`
+	WantLoad bool        `json:"w,omitempty"`
 }
 
-type openAnswer struct {
-	// Newer is set instead of all else if the request's epoch is old.
+type openResponse struct {
+	// Newer is set, and nothing else, if the request's epoch is old.
 	Newer *ReplicaSet `json:"n,omitempty"`
-	// Complete tells whether what the replica doesn't know may be counted.
+	// Complete reports whether the replica counts toward a read quorum; see folderRecord.
 	Complete bool                     `json:"c,omitempty"`
 	Charges  conversation.ChargeSheet `json:"q,omitempty"`
-	// Engine is where a turn of the program ran last, if that is known.
+	// Engine ran the program's last turn; empty if unknown.
 	Engine  string              `json:"g,omitempty"`
 	Known   bool                `json:"k,omitempty"`
 	Chain   []conversation.Turn `json:"h,omitempty"`
@@ -51,29 +51,29 @@
 	Records []conversation.Record `json:"r"`
 }
 
-type putAnswer struct {
+type putResponse struct {
 	Newer *ReplicaSet `json:"n,omitempty"`
 }
 
 type digestRequest struct {
-	// From is the asker. A connection that this replica has dialled does not name its other end.
-	From     string `json:"f,omitempty"`
-	Shard    int    `json:"s,omitempty"`
-	Epoch    int64  `json:"e"`
-	Identity string `json:"i"`
-	After    uint64 `json:"a"`
-	// Presence asks for no keys: only whether the replica is there, complete, and knows a newer set.
-	Presence bool `json:"p,omitempty"`
+	// From is the requesting replica. A connection that was dialed by this side does not identify its peer.
+	From        string `json:"f,omitempty"`
+	Shard       int    `json:"s,omitempty"`
+	Epoch       int64  `json:"e"`
+	Incarnation string `json:"i"`
+	After       uint64 `json:"a"`
+	// Heartbeat requests no keys, only whether the replica is alive and complete, and its set if newer.
+	Heartbeat bool `json:"p,omitempty"`
 }
 
-type digestAnswer struct {
-	Identity string             `json:"i"`
-	Sequence uint64             `json:"s"`
-	Keys     []conversation.Key `json:"k,omitempty"`
-	Complete bool               `json:"c,omitempty"`
-	// Followed tells that a spare, another one than the asker, pulls from this replica.
-	Followed bool `json:"f,omitempty"`
-	// ReplicaSet is the newest set that the replica knows.
+type digestResponse struct {
+	Incarnation string             `json:"i"`
+	Sequence    uint64             `json:"s"`
+	Keys        []conversation.Key `json:"k,omitempty"`
+	Complete    bool               `json:"c,omitempty"`
+	// SparePulling reports that a spare other than the requester pulls from this replica.
+	SparePulling bool `json:"f,omitempty"`
+	// ReplicaSet is the replica's set if it is newer than the request's epoch.
 	ReplicaSet *ReplicaSet `json:"n,omitempty"`
 }
 
@@ -81,7 +81,7 @@
 	Keys []conversation.Key `json:"k"`
 }
 
-type fetchAnswer struct {
+type fetchResponse struct {
 	Records []conversation.Record `json:"r"`
 }
 
@@ -89,7 +89,7 @@
 	ReplicaSet ReplicaSet `json:"s"`
 }
 
-type fenceAnswer struct {
+type fenceResponse struct {
 	Epoch    int64 `json:"e"`
 	Complete bool  `json:"c"`
 }
--- a/internal/turnstore/metrics.go
+++ b/internal/turnstore/metrics.go
@@ -9,32 +9,31 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// Metrics counts the questions that a replica answers and measures their times; it also tells what the replica
-// holds. A nil Metrics measures nothing.
+// Metrics counts and times the requests that a replica serves, and exposes its size. A nil Metrics does nothing.
 type Metrics struct {
 	registerer prometheus.Registerer
-	questions  *prometheus.CounterVec
-	seconds    *prometheus.HistogramVec
+	requests   *prometheus.CounterVec
+	latency    *prometheus.HistogramVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics registers the request metrics; the gauges of a replica are registered when it is created.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	metrics := &Metrics{
 		registerer: registerer,
-		questions: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "mountstile_replica_questions_total", Help: "Questions that the replica answered, by kind and outcome.",
 		}, []string{"kind", "outcome"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "mountstile_replica_answer_seconds", Help: "Time to answer a question, syncs of the disk included.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14),
 		}, []string{"kind"}),
 	}
-	registerer.MustRegister(metrics.questions, metrics.seconds)
+	registerer.MustRegister(metrics.requests, metrics.latency)
 	return metrics
 }
 
-// show registers what is read off the replica whenever the metrics are asked for.
-func (m *Metrics) show(replica *Replica) {
+// registerGauges registers the gauges that are read from the replica at each scrape.
+func (m *Metrics) registerGauges(replica *Replica) {
 	if m == nil {
 		return
 	}
@@ -60,7 +59,7 @@
 	return r.shard
 }
 
-// replicaSize is how much a replica holds.
+// replicaSize is the number of turns and programs that a replica holds.
 type replicaSize struct{ turns, programs int }
 
 func (r *Replica) size() replicaSize {
@@ -70,14 +69,14 @@
 	return replicaSize{turns: turns, programs: programs}
 }
 
-// The outcomes of a question.
+// Outcomes of a request.
 const (
 	outcomeAnswered = "answered"
 	outcomeFailed   = "failed"
 )
 
-// measured wraps the handler of a kind of question.
-func measured[Request, Response any](
+// instrument wraps a request handler to count and time its calls.
+func instrument[Request, Response any](
 	metrics *Metrics, kind string, handler func(context.Context, transport.Peer, Request) (Response, error),
 ) func(context.Context, transport.Peer, Request) (Response, error) {
 	if metrics == nil {
@@ -90,8 +89,8 @@
 		if err != nil {
 			outcome = outcomeFailed
 		}
-		metrics.questions.WithLabelValues(kind, outcome).Inc()
-		metrics.seconds.WithLabelValues(kind).Observe(time.Since(startedAt).Seconds())
+		metrics.requests.WithLabelValues(kind, outcome).Inc()
+		metrics.latency.WithLabelValues(kind).Observe(time.Since(startedAt).Seconds())
 		return response, err
 	}
 }
--- a/internal/turnstore/metrics_test.go
+++ b/internal/turnstore/metrics_test.go
@@ -11,31 +11,31 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-func TestMetricsTellWhatAReplicaAnswered(t *testing.T) {
+func TestMetricsCountRequests(t *testing.T) {
 	metrics := NewMetrics(prometheus.NewRegistry())
 	failing := true
-	handler := measured(metrics, openKind, func(context.Context, transport.Peer, openRequest) (openAnswer, error) {
+	handler := instrument(metrics, openKind, func(context.Context, transport.Peer, openRequest) (openResponse, error) {
 		if failing {
-			return openAnswer{}, errHandingOver
+			return openResponse{}, errHandingOver
 		}
-		return openAnswer{Complete: true}, nil
+		return openResponse{Complete: true}, nil
 	})
 	_, err := handler(t.Context(), transport.Peer{}, openRequest{})
 	assert.Assert(t, err != nil)
 	failing = false
-	answer, err := handler(t.Context(), transport.Peer{}, openRequest{})
+	response, err := handler(t.Context(), transport.Peer{}, openRequest{})
 	assert.NilError(t, err)
-	assert.Assert(t, answer.Complete)
-	assert.Equal(t, testutil.ToFloat64(metrics.questions.WithLabelValues(openKind, outcomeAnswered)), 1.0)
-	assert.Equal(t, testutil.ToFloat64(metrics.questions.WithLabelValues(openKind, outcomeFailed)), 1.0)
+	assert.Assert(t, response.Complete)
+	assert.Equal(t, testutil.ToFloat64(metrics.requests.WithLabelValues(openKind, outcomeAnswered)), 1.0)
+	assert.Equal(t, testutil.ToFloat64(metrics.requests.WithLabelValues(openKind, outcomeFailed)), 1.0)
 }
 
-func TestMetricsTellWhatAReplicaHolds(t *testing.T) {
+func TestMetricsReportReplicaContents(t *testing.T) {
 	t.Parallel()
 	registry := prometheus.NewRegistry()
 	c := newCluster(t, 3)
 	c.put("a", "")
-	NewMetrics(registry).show(c.machines[0].process.replica)
+	NewMetrics(registry).registerGauges(c.machines[0].process.replica)
 	families, err := registry.Gather()
 	assert.NilError(t, err)
 	found := make(map[string]float64)
--- a/internal/turnstore/node.go
+++ b/internal/turnstore/node.go
@@ -10,13 +10,13 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// NodeOptions configure a Node.
+// NodeOptions configures a Node.
 type NodeOptions struct {
 	Replica ReplicaOptions
 	Source  catalog.Source
-	// StaleAfter is the age from which contact with the store does not count as fresh.
+	// StaleAfter is the age from which the last contact with the store no longer counts as fresh.
 	StaleAfter time.Duration
-	// Seeds returns the addresses of replicas to begin with.
+	// Seeds returns the addresses of replicas to contact before any set is known.
 	Seeds   func() []string
 	Network *transport.Transport
 	Logger  *events.Logger
@@ -29,7 +29,7 @@
 	replica *Replica
 }
 
-// NewNode reads the replica's folder.
+// NewNode opens the replica's data folder and creates the replica and its catalog.
 func NewNode(options NodeOptions) (*Node, error) {
 	node := &Node{options: options}
 	options.Replica.IsRetiring = func(name string) bool {
@@ -49,25 +49,25 @@
 	return node, nil
 }
 
-// readsStore tells whether this replica is one of those that read the store for all. Each call of the store
-// counts, so only as many do as may be lost at once, and one. While the set is unknown, all read.
+// readsStore reports whether this replica reads the configuration store. Calls to the store are expensive, so only a
+// few members read it: one more than may be lost at once. While the set is unknown, all do.
 func (n *Node) readsStore() bool {
 	set := n.replica.setOf(0)
-	return set.Epoch == 0 || contains(set.readers(), n.options.Replica.Self.Name)
+	return set.Epoch == 0 || contains(set.storeReaders(), n.options.Replica.Self.Name)
 }
 
-// servesGateways tells whether this replica is no member of the first shard, whose members read the store for all and hear
-// the gateways' load. All others serve the catalog to the gateways of their zone.
+// servesGateways reports whether this replica serves the catalog to the gateways of its zone. Members of the first
+// shard don't: they read the store for all nodes and exchange the gateways' load.
 func (n *Node) servesGateways() bool {
 	set := n.replica.setOf(0)
 	return set.Epoch > 0 && !set.Has(n.options.Replica.Self.Name)
 }
 
-// peers are the replicas that read the store.
+// peers returns the addresses of the replicas that read the store.
 func (n *Node) peers() []string {
 	var addresses []string
 	set := n.replica.setOf(0)
-	for _, member := range without(set.readers(), n.options.Replica.Self.Name) {
+	for _, member := range without(set.storeReaders(), n.options.Replica.Self.Name) {
 		addresses = append(addresses, member.Address)
 	}
 	if set.Epoch > 0 {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Run serves until the context ends.
+// Run runs the catalog and the replica until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.catalog.Run(ctx)
 	n.replica.Run(ctx)
--- a/internal/turnstore/othershards.go
+++ b/internal/turnstore/othershards.go
@@ -7,44 +7,44 @@
 	"github.com/mountstile/mountstile/internal/conversation"
 )
 
-// foundChain is what one shard knows of a turn and those before it.
-type foundChain struct {
+// chainResult is one shard's result for a turn and its predecessors.
+type chainResult struct {
 	turns []conversation.Turn
 	err   error
 }
 
-// openFromOtherShard finds the turns before an opened one where other programs have them: a new program may go on from
-// a turn of an older one. Its reservation stands already. "No such turn" needs the certainty of all shards.
-func (c *Client) openFromOtherShard(ctx context.Context, shard int, opening OpenParams, opened *OpenedTurn) error {
-	askContext, stop := context.WithCancel(ctx)
+// openFromOtherShards looks for the previous turns in all other shards, since a new program may continue a turn of an
+// older one. The reservation has already been made. NoSuchTurn requires that every shard reports it.
+func (c *Client) openFromOtherShards(ctx context.Context, shard int, params OpenParams, opened *OpenedTurn) error {
+	requestContext, stop := context.WithCancel(ctx)
 	defer stop()
 	others := c.allSets()
-	found := make(chan foundChain, len(others))
-	asked := 0
+	results := make(chan chainResult, len(others))
+	pending := 0
 	for _, set := range others {
 		if set.Shard == shard {
 			continue
 		}
-		asked++
-		go func() { found <- c.chainIn(askContext, set.Shard, opening.Previous) }()
+		pending++
+		go func() { results <- c.readChain(requestContext, set.Shard, params.Previous) }()
 	}
-	var refusal error = noSuchTurn(opening.Previous)
-	for range asked {
-		chain := <-found
-		if chain.err == nil {
-			c.use(opened, chain.turns, shard)
+	var failure error = noSuchTurn(params.Previous)
+	for range pending {
+		result := <-results
+		if result.err == nil {
+			c.setChain(opened, result.turns, shard)
 			return nil
 		}
-		if !apierr.Is(chain.err, apierr.NoSuchTurn) {
-			refusal = chain.err
+		if !apierr.Is(result.err, apierr.NoSuchTurn) {
+			failure = result.err
 		}
 	}
-	return refusal
+	return failure
 }
 
-// chainIn reads a turn and those before it from one shard. The error is a NoSuchTurn or a TurnsUnavailable.
-func (c *Client) chainIn(ctx context.Context, shard int, previous string) foundChain {
-	var read OpenedTurn
-	err := c.openAtReplicas(ctx, shard, OpenParams{Previous: previous, Budget: -1}, &read, true)
-	return foundChain{turns: read.chain, err: err}
+// readChain reads a turn and its predecessors from one shard. The error is a NoSuchTurn or a TurnsUnavailable.
+func (c *Client) readChain(ctx context.Context, shard int, previous string) chainResult {
+	var opened OpenedTurn
+	err := c.openInShard(ctx, shard, OpenParams{Previous: previous, Budget: -1}, &opened, true)
+	return chainResult{turns: opened.chain, err: err}
 }
--- a/internal/turnstore/pull.go
+++ b/internal/turnstore/pull.go
@@ -11,61 +11,61 @@
 )
 
 const (
-	// pullInterval is how often a replica asks another one what it has missed, and all whether they are there.
+	// pullInterval is how often a replica pulls from one peer and sends heartbeats to the others.
 	pullInterval = time.Second
-	// hastyPullInterval is the same for a replica that must have everything soon.
-	hastyPullInterval = 100 * time.Millisecond
-	pullTimeout       = 1500 * time.Millisecond
+	// fastPullInterval is the interval for a replica that must catch up soon.
+	fastPullInterval = 100 * time.Millisecond
+	pullTimeout      = 1500 * time.Millisecond
 )
 
-// peerProgress is how far this replica has pulled from another one.
+// peerProgress tracks contact with a peer and how far this replica has pulled from it.
 type peerProgress struct {
-	identity string
-	sequence uint64
-	// wholeAt is when everything that the peer had was here; zero if never.
-	wholeAt time.Time
-	// complete is what the peer said of itself then.
+	incarnation string
+	sequence    uint64
+	// caughtUpAt is when the last pull that reached the peer's newest record was requested; zero if none has.
+	caughtUpAt time.Time
+	// complete is whether the peer was complete then.
 	complete bool
-	// asking is true while a question of the pull loop is under way.
-	asking bool
-	// appending is true while this replica waits for its own disk with what the peer has sent.
+	// inFlight is set while a request of the pull loop is pending.
+	inFlight bool
+	// appending is set while pulled records wait for this replica's own disk.
 	appending bool
-	// heardAt is when the peer last answered; firstAskedAt when it was first asked.
-	heardAt      time.Time
-	firstAskedAt time.Time
-	// followed tells that a spare pulls from the peer, as it said last.
-	followed bool
-	// askedAt is when the peer was last asked. One that was no member for a while was not asked either: its silence
-	// counts from the next question.
-	askedAt time.Time
+	// lastResponseAt is when the peer last responded; firstRequestAt is the start of the current series of requests.
+	lastResponseAt time.Time
+	firstRequestAt time.Time
+	// sparePulling is whether the peer last reported that a spare pulls from it.
+	sparePulling bool
+	// lastRequestAt is when the peer was last contacted. A former member is not contacted, so its silence counts only
+	// from the next request.
+	lastRequestAt time.Time
 }
 
-// pullLoop pulls from other members again and again. It does not wait for their answers: one that is silent
-// must not keep it from hearing the others.
+// pullLoop pulls from other members periodically. It does not wait for responses, so that a silent member doesn't delay
+// contact with the others.
 func (r *Replica) pullLoop(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	for round := 0; ctx.Err() == nil; round++ {
-		hasty := r.pullsHastily()
-		r.beginRound(ctx, &tasks, round, hasty)
-		if r.completeNow() {
+		fast := r.needsFastPull()
+		r.startRound(ctx, &tasks, round, fast)
+		if r.hasCaughtUp() {
 			r.finishCatchUp()
 		}
 		interval := pullInterval
-		if hasty {
-			interval = hastyPullInterval
+		if fast {
+			interval = fastPullInterval
 		}
 		select {
 		case <-ctx.Done():
-		case <-r.setNews:
+		case <-r.pullNow:
 		case <-time.After(interval):
 		}
 	}
 }
 
-// pullsHastily tells whether this replica needs everything soon: it is not complete, or it is no
-// member and the set has a place for it.
-func (r *Replica) pullsHastily() bool {
+// needsFastPull reports whether this replica must catch up soon: it is incomplete, or it is a spare and the set has a
+// place for it.
+func (r *Replica) needsFastPull() bool {
 	if !r.folder.record().Complete {
 		return true
 	}
@@ -73,12 +73,12 @@
 	if set.Has(r.options.Self.Name) {
 		return false
 	}
-	return len(set.Members) < set.Size || r.silentMember(set.Members) != "" || r.retiringMember(set.Members) != ""
+	return len(set.Members) < set.Size || r.timedOutMember(set.Members) != "" || r.retiringMember(set.Members) != ""
 }
 
 func (r *Replica) others() []Member { return without(r.ReplicaSet().All(), r.options.Self.Name) }
 
-// pullAll pulls from all others and returns when all have answered or failed.
+// pullAll pulls from all other members and returns when all have responded or failed.
 func (r *Replica) pullAll(ctx context.Context) {
 	var tasks sync.WaitGroup
 	for _, member := range r.others() {
@@ -91,98 +91,98 @@
 	tasks.Wait()
 }
 
-// beginRound pulls from all others in haste; or else from one, and only asks the rest whether they are there.
-// Those that have not answered yet are left out.
-func (r *Replica) beginRound(ctx context.Context, tasks *sync.WaitGroup, round int, hasty bool) {
+// startRound pulls from all other members if fast is set, or else from one, with heartbeats to the rest. Members with a
+// pending request are skipped.
+func (r *Replica) startRound(ctx context.Context, tasks *sync.WaitGroup, round int, fast bool) {
 	others := r.others()
 	if len(others) == 0 {
 		return
 	}
-	source := r.source(others, round)
+	pullSource := r.pullSource(others, round)
 	shard := r.ReplicaSet().Shard
 	for _, member := range others {
 		progress := r.progressOf(member)
-		if !r.setAsking(progress, true) {
+		if !r.setInFlight(progress, true) {
 			continue
 		}
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
-			defer r.setAsking(progress, false)
-			if hasty || member.Name == source.Name {
+			defer r.setInFlight(progress, false)
+			if fast || member.Name == pullSource.Name {
 				r.pullFrom(ctx, member)
 			} else {
-				r.checkPresence(ctx, shard, member)
+				r.sendHeartbeat(ctx, shard, member)
 			}
 		}()
 	}
 }
 
-// setAsking reports whether that changed anything.
-func (r *Replica) setAsking(progress *peerProgress, asking bool) bool {
+// setInFlight reports whether the value changed.
+func (r *Replica) setInFlight(progress *peerProgress, inFlight bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	changed := progress.asking != asking
-	progress.asking = asking
+	changed := progress.inFlight != inFlight
+	progress.inFlight = inFlight
 	return changed
 }
 
-// source is the one to pull from. A member takes the others in turn, for each has nearly everything anyway;
-// a spare takes the nearest one, which costs no traffic between zones.
-func (r *Replica) source(others []Member, round int) Member {
+// pullSource returns the peer to pull from. A member takes the others in rotation, since each has nearly everything
+// anyway; a spare takes the nearest one, which saves traffic between zones.
+func (r *Replica) pullSource(others []Member, round int) Member {
 	if r.ReplicaSet().Has(r.options.Self.Name) {
 		return others[round%len(others)]
 	}
 	return r.nearest(others)
 }
 
-// nearest is the first member of this replica's zone that is not silent, or else any.
+// nearest returns the first member of this replica's zone that has not timed out, or else any.
 func (r *Replica) nearest(members []Member) Member {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, member := range members {
-		if member.Zone == r.options.Self.Zone && !r.silent(member.Name) {
+		if member.Zone == r.options.Self.Zone && !r.timedOut(member.Name) {
 			return member
 		}
 	}
 	return members[0]
 }
 
-// checkPresence asks a member whether it is there.
-func (r *Replica) checkPresence(ctx context.Context, shard int, member Member) {
+// sendHeartbeat checks whether a member is alive.
+func (r *Replica) sendHeartbeat(ctx context.Context, shard int, member Member) {
 	progress := r.progressOf(member)
-	answer, err := r.askDigest(ctx, shard, member, progress, true)
+	response, err := r.requestDigest(ctx, shard, member, progress, true)
 	if err != nil {
 		return
 	}
-	if answer.ReplicaSet != nil {
-		r.ApplySet(*answer.ReplicaSet)
+	if response.ReplicaSet != nil {
+		r.ApplySet(*response.ReplicaSet)
 	}
 }
 
-// pullFrom fetches what the peer has and this replica has not.
+// pullFrom fetches the records that the peer has and this replica lacks.
 func (r *Replica) pullFrom(ctx context.Context, member Member) {
 	shard := r.ReplicaSet().Shard
 	progress := r.progressOf(member)
 	for ctx.Err() == nil {
-		asked := time.Now()
-		answer, err := r.askDigest(ctx, shard, member, progress, false)
+		requestedAt := time.Now()
+		response, err := r.requestDigest(ctx, shard, member, progress, false)
 		if err != nil {
 			return
 		}
-		if answer.ReplicaSet != nil {
-			r.ApplySet(*answer.ReplicaSet)
+		if response.ReplicaSet != nil {
+			r.ApplySet(*response.ReplicaSet)
 		}
-		if !r.fetch(ctx, member, progress, r.missing(answer.Keys)) {
+		if !r.fetch(ctx, member, progress, r.missing(response.Keys)) {
 			return
 		}
-		reachedEnd := len(answer.Keys) < digestKeys
+		reachedEnd := len(response.Keys) < digestKeys
 		r.mutex.Lock()
-		progress.identity = answer.Identity
-		progress.sequence = answer.Sequence
+		progress.incarnation = response.Incarnation
+		progress.sequence = response.Sequence
 		if reachedEnd {
-			progress.wholeAt = asked
-			progress.complete = answer.Complete
+			progress.caughtUpAt = requestedAt
+			progress.complete = response.Complete
 		}
 		r.mutex.Unlock()
 		if reachedEnd {
@@ -195,44 +195,44 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
-	known := r.peers[member.Name]
-	if known == nil {
-		known = &peerProgress{}
-		r.peers[member.Name] = known
+	progress := r.peers[member.Name]
+	if progress == nil {
+		progress = &peerProgress{}
+		r.peers[member.Name] = progress
 	}
-	if now.Sub(known.askedAt) > silentAfter {
-		known.firstAskedAt = now
+	if now.Sub(progress.lastRequestAt) > memberTimeout {
+		progress.firstRequestAt = now
 	}
-	known.askedAt = now
-	return known
+	progress.lastRequestAt = now
+	return progress
 }
 
-func (r *Replica) askDigest(ctx context.Context, shard int, member Member, progress *peerProgress, presence bool) (digestAnswer, error) {
+func (r *Replica) requestDigest(ctx context.Context, shard int, member Member, progress *peerProgress, heartbeat bool) (digestResponse, error) {
 	r.mutex.Lock()
-	request := digestRequest{From: r.options.Self.Name, Shard: shard, Epoch: r.sets[shard].Epoch, Identity: progress.identity, After: progress.sequence, Presence: presence}
+	request := digestRequest{From: r.options.Self.Name, Shard: shard, Epoch: r.sets[shard].Epoch, Incarnation: progress.incarnation, After: progress.sequence, Heartbeat: heartbeat}
 	r.mutex.Unlock()
 	callContext, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	answer, err := transport.Call[digestAnswer](callContext, r.network, member.Address, digestKind, request)
+	response, err := transport.Call[digestResponse](callContext, r.network, member.Address, digestKind, request)
 	if err == nil {
-		r.noteHeard(progress)
-		r.noteFollowed(progress, answer.Followed)
+		r.recordResponse(progress)
+		r.recordSparePulling(progress, response.SparePulling)
 	}
-	return answer, err
+	return response, err
 }
 
-// noteHeard notes that a peer has answered, before anything is done with the answer: while this replica waits for its own
-// disk, it must not take the peer for silent.
-func (r *Replica) noteHeard(progress *peerProgress) {
+// recordResponse notes a peer's response before it is processed: while this replica waits for its own disk, the peer
+// must not time out.
+func (r *Replica) recordResponse(progress *peerProgress) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	progress.heardAt = time.Now()
+	progress.lastResponseAt = time.Now()
 }
 
-func (r *Replica) noteFollowed(progress *peerProgress, followed bool) {
+func (r *Replica) recordSparePulling(progress *peerProgress, sparePulling bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	progress.followed = followed
+	progress.sparePulling = sparePulling
 }
 
 func (r *Replica) missing(keys []conversation.Key) []conversation.Key {
@@ -247,26 +247,27 @@
 	return missing
 }
 
-// fetch reports whether all that was asked for is here and synced.
+// fetch reports whether all requested records have arrived and are synced.
 func (r *Replica) fetch(ctx context.Context, member Member, progress *peerProgress, keys []conversation.Key) bool {
 	for len(keys) > 0 {
 		batch := keys[:min(len(keys), fetchKeys)]
 		keys = keys[len(batch):]
 		callContext, cancel := context.WithTimeout(ctx, pullTimeout)
-		answer, err := transport.Call[fetchAnswer](callContext, r.network, member.Address, fetchKind, fetchRequest{Keys: batch})
+		response, err := transport.Call[fetchResponse](callContext, r.network, member.Address, fetchKind, fetchRequest{Keys: batch})
 		cancel()
 		if err != nil {
 			return false
 		}
-		r.noteHeard(progress)
-		if r.appendPulled(ctx, progress, answer.Records) != nil {
+		r.recordResponse(progress)
+		if r.appendPulled(ctx, progress, response.Records) != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// appendPulled writes what came from a peer. The peer is not asked meanwhile, so its silence counts from the end on.
+// appendPulled writes records from a peer. The peer is not contacted meanwhile, so its silence counts from the end of
+// the write.
 func (r *Replica) appendPulled(ctx context.Context, progress *peerProgress, records []conversation.Record) error {
 	r.setAppending(progress, true)
 	defer r.setAppending(progress, false)
@@ -277,12 +278,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	progress.appending = appending
-	progress.firstAskedAt = time.Now()
+	progress.firstRequestAt = time.Now()
 }
 
-// completeNow tells whether an incomplete replica has all that was ever written: all that so many
-// complete members hold that each record is with one of them, or all that anybody holds.
-func (r *Replica) completeNow() bool {
+// hasCaughtUp reports whether an incomplete replica now holds every acknowledged record: it has pulled from a read
+// quorum of complete members, or from all members.
+func (r *Replica) hasCaughtUp() bool {
 	if r.folder.record().Complete {
 		return false
 	}
@@ -291,30 +292,30 @@
 	if r.set.Epoch == 0 {
 		return false
 	}
-	return r.pulledEnough(time.Time{})
+	return r.pulledReadQuorum(time.Time{})
 }
 
-// pulledEnough is the same for what was pulled after a point in time. While the set changes, each record that counts
-// as written lies on enough of the members that stand, so those that are to come need not be asked: one of
-// them may be lost, and one may be this replica itself. The caller holds the mutex.
-func (r *Replica) pulledEnough(after time.Time) bool {
-	whole := make(map[string]bool)
-	anybody := make(map[string]bool)
+// pulledReadQuorum reports whether such pulls were requested after since. During a change, each acknowledged record is
+// on enough of the current members, so the next members need not be contacted: one of them may be lost, and one may be
+// this replica itself. The caller holds the mutex.
+func (r *Replica) pulledReadQuorum(since time.Time) bool {
+	completePeers := make(map[string]bool)
+	pulledPeers := make(map[string]bool)
 	for name, progress := range r.peers {
-		if progress.wholeAt.IsZero() || !progress.wholeAt.After(after) {
+		if progress.caughtUpAt.IsZero() || !progress.caughtUpAt.After(since) {
 			continue
 		}
-		anybody[name] = true
+		pulledPeers[name] = true
 		if progress.complete {
-			whole[name] = true
+			completePeers[name] = true
 		}
 	}
-	if count(r.set.Members, whole) >= r.set.reads(r.set.Members) {
+	if count(r.set.Members, completePeers) >= r.set.readQuorum(r.set.Members) {
 		return true
 	}
-	// The only member has nobody to ask: what it does not hold is nowhere.
+	// A sole member has no peer to pull from: what it lacks is lost.
 	others := without(r.set.All(), r.options.Self.Name)
-	return count(others, anybody) == len(others)
+	return count(others, pulledPeers) == len(others)
 }
 
 func (r *Replica) finishCatchUp() {
--- a/internal/turnstore/put.go
+++ b/internal/turnstore/put.go
@@ -7,33 +7,33 @@
 	"github.com/mountstile/mountstile/internal/conversation"
 )
 
-// putReply is what one replica said to an offer of records.
-type putReply struct {
-	member Member
-	answer putAnswer
-	err    error
+// putResult is one replica's response to a write.
+type putResult struct {
+	member   Member
+	response putResponse
+	err      error
 }
 
-// Put writes records to the shard of a program and returns once enough replicas have synced them. It offers them again
-// until the context ends.
+// Put writes records to a program's shard and returns once a write quorum has synced them. It retries until the context
+// ends.
 func (c *Client) Put(ctx context.Context, program string, records []conversation.Record) error {
 	synced := make(map[string]bool)
 	for {
 		shard, known := c.shardOf(program)
 		set := c.setOf(shard)
-		if known && c.offer(ctx, set, records, synced) {
-			c.remember(records)
+		if known && c.putOnce(ctx, set, records, synced) {
+			c.cacheTurns(records)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return unavailable("too few replicas took the record: %d", len(synced))
-		case <-time.After(putInterval):
+			return unavailable("too few replicas stored the record: %d", len(synced))
+		case <-time.After(putRetryDelay):
 		}
 	}
 }
 
-func (c *Client) remember(records []conversation.Record) {
+func (c *Client) cacheTurns(records []conversation.Record) {
 	for _, record := range records {
 		if record.Turn != nil {
 			c.cache.add(*record.Turn)
@@ -41,51 +41,51 @@
 	}
 }
 
-// offer sends records to the replicas that have not taken them yet. The call goes on at the others
-// after enough have answered.
-func (c *Client) offer(ctx context.Context, set ReplicaSet, records []conversation.Record, synced map[string]bool) bool {
-	var asked []Member
+// putOnce sends records to the replicas that have not stored them yet. Pending requests continue in the background
+// after the quorum is reached.
+func (c *Client) putOnce(ctx context.Context, set ReplicaSet, records []conversation.Record, synced map[string]bool) bool {
+	var pending []Member
 	for _, member := range set.All() {
 		if !synced[member.Name] {
-			asked = append(asked, member)
+			pending = append(pending, member)
 		}
 	}
-	replies := make(chan putReply, len(asked))
-	for _, member := range asked {
-		go c.putTo(member, putRequest{Shard: set.Shard, Epoch: set.Epoch, Records: records}, replies)
+	results := make(chan putResult, len(pending))
+	for _, member := range pending {
+		go c.putTo(member, putRequest{Shard: set.Shard, Epoch: set.Epoch, Records: records}, results)
 	}
-	for range asked {
+	for range pending {
 		select {
-		case reply := <-replies:
-			if reply.answer.Newer != nil {
-				c.ApplySet(*reply.answer.Newer)
+		case result := <-results:
+			if result.response.Newer != nil {
+				c.ApplySet(*result.response.Newer)
 				return false
 			}
-			if reply.err == nil {
-				synced[reply.member.Name] = true
+			if result.err == nil {
+				synced[result.member.Name] = true
 			}
 		case <-ctx.Done():
 			return false
 		}
-		if set.Written(synced) {
+		if set.HasWriteQuorum(synced) {
 			return true
 		}
 	}
-	return set.Written(synced)
+	return set.HasWriteQuorum(synced)
 }
 
-func (c *Client) putTo(member Member, request putRequest, replies chan<- putReply) {
-	ctx, cancel := context.WithTimeout(context.Background(), putAttempt)
+func (c *Client) putTo(member Member, request putRequest, results chan<- putResult) {
+	ctx, cancel := context.WithTimeout(context.Background(), putTimeout)
 	defer cancel()
-	answer, err := askUntilAnswered[putAnswer](ctx, c.network, member.Address, putKind, request)
-	replies <- putReply{member: member, answer: answer, err: err}
+	response, err := callWithRetry[putResponse](ctx, c.network, member.Address, putKind, request)
+	results <- putResult{member: member, response: response, err: err}
 }
 
-// Settle tells, in the background, what a turn generated in the end, and where. If that fails, the turn counts
-// at its most.
+// Settle records, in the background, how many tokens a turn generated and on which engine. If that fails, the turn is
+// charged its full reservation.
 func (c *Client) Settle(opened *OpenedTurn, tokens int64, engine string) {
 	c.mutex.Lock()
-	if c.settling >= maximalSettling {
+	if c.settling >= maxSettling {
 		c.mutex.Unlock()
 		return
 	}
--- a/internal/turnstore/random_test.go
+++ b/internal/turnstore/random_test.go
@@ -17,85 +17,85 @@
 
 var (
 	randomSeed  = flag.Uint64("turnstore.seed", 1, "first seed of the random faults")
-	randomRuns  = flag.Int("turnstore.runs", 2, "how many seeds are played")
-	randomSteps = flag.Int("turnstore.steps", 12, "how many faults each seed has")
+	randomRuns  = flag.Int("turnstore.runs", 2, "number of seeds to run")
+	randomSteps = flag.Int("turnstore.steps", 12, "number of faults for each seed")
 )
 
 const (
 	randomBudget = 400
 	randomMost   = 60
-	// writerPause keeps the writers from filling the machine.
-	writerPause = 5 * time.Millisecond
-	// retirePatience is how long a machine may take to be emptied before that is withdrawn.
-	retirePatience = 3 * time.Second
+	// writeInterval limits the load of the writers.
+	writeInterval = 5 * time.Millisecond
+	// retireTimeout is how long a retirement may take before it is withdrawn.
+	retireTimeout = 3 * time.Second
 )
 
-// ledger is what callers were told.
-type ledger struct {
+// acknowledged holds what was acknowledged to callers.
+type acknowledged struct {
 	mutex sync.Mutex
 	kept  []string
-	// generated is what each program's callers have got, in tokens.
+	// generated counts the tokens granted to each program.
 	generated map[string]int64
 }
 
-// TestRandomFaults lets replicas be killed, wiped, cut off, replaced and emptied at random, as far as
-// the promises allow, while callers write and read. Nothing that was acknowledged is ever denied,
-// nothing is found that was never written, no budget is overspent, and in the end all is there.
+// TestRandomFaults kills, wipes, partitions, replaces and retires random replicas, within the tolerated number of
+// faults, during writes and reads. Acknowledged turns must not be denied, unknown turns must not be found, budgets must
+// not be exceeded, and in the end all acknowledged turns must be readable.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for run := range *randomRuns {
 		seed := *randomSeed + uint64(run)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playFaults(t, seed)
+			runFaults(t, seed)
 		})
 	}
 }
 
-func playFaults(t *testing.T, seed uint64) {
+func runFaults(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	c := newCluster(t, 3+random.IntN(2))
-	c.playFaults(random, c.settle)
+	c.runFaults(random, c.waitSettled)
 	t.Logf("seed %d: set %+v", seed, c.store.set())
 }
 
-// playFaults plays faults, each after the cluster has settled from the one before, while callers write and read.
-func (c *cluster) playFaults(random *rand.Rand, settle func(when string)) {
+// runFaults injects faults, each after the cluster has recovered from the one before, during writes and reads.
+func (c *cluster) runFaults(random *rand.Rand, waitSettled func(when string)) {
 	t := c.t
-	told := &ledger{generated: make(map[string]int64)}
+	acked := &acknowledged{generated: make(map[string]int64)}
 	ctx, stop := context.WithCancel(context.Background())
 	var writers sync.WaitGroup
 	for index := range 3 {
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			c.write(ctx, told, c.newClient(), index)
+			c.write(ctx, acked, c.newClient(), index)
 		}()
 	}
 	added := 0
 	for step := range *randomSteps {
-		c.fault(random, &added)
-		c.checkDenials(told, random)
-		settle(fmt.Sprintf("after step %d", step))
-		c.checkDenials(told, random)
+		c.injectFault(random, &added)
+		c.checkReads(acked, random)
+		waitSettled(fmt.Sprintf("after step %d", step))
+		c.checkReads(acked, random)
 	}
 	stop()
 	writers.Wait()
-	for program, generated := range told.generated {
+	for program, generated := range acked.generated {
 		assert.Assert(t, generated <= randomBudget, "%s generated %d", program, generated)
 	}
-	for _, id := range told.kept {
-		eventually(t, "turn "+id+" is there", func() bool {
+	for _, id := range acked.kept {
+		eventually(t, "turn "+id+" is readable", func() bool {
 			opened, err := c.read(id)
 			return err == nil && len(opened.Prefix) > 0
 		})
 	}
-	t.Logf("%d turns kept", len(told.kept))
+	t.Logf("%d turns acknowledged", len(acked.kept))
 }
 
-// write keeps turns and spends budgets until the context ends.
-func (c *cluster) write(ctx context.Context, told *ledger, client *Client, writer int) {
-	pause := time.NewTicker(writerPause)
+// write stores turns and spends budgets until the context ends.
+func (c *cluster) write(ctx context.Context, acked *acknowledged, client *Client, writer int) {
+	pause := time.NewTicker(writeInterval)
 	defer pause.Stop()
 	for number := 0; ; number++ {
 		select {
@@ -109,9 +109,9 @@
 		if err != nil {
 			continue
 		}
-		told.mutex.Lock()
-		told.generated[program] += randomMost
-		told.mutex.Unlock()
+		acked.mutex.Lock()
+		acked.generated[program] += randomMost
+		acked.mutex.Unlock()
 		putContext, cancel := context.WithTimeout(ctx, time.Second)
 		err = client.Put(putContext, program, []conversation.Record{
 			{Turn: &conversation.Turn{ID: id, Text: []byte(id), RetentionMillis: 600_000}},
@@ -119,28 +119,28 @@
 		})
 		cancel()
 		if err == nil {
-			told.mutex.Lock()
-			told.kept = append(told.kept, id)
-			told.mutex.Unlock()
+			acked.mutex.Lock()
+			acked.kept = append(acked.kept, id)
+			acked.mutex.Unlock()
 		}
 	}
 }
 
-// fault does one thing to the cluster.
-func (c *cluster) fault(random *rand.Rand, added *int) {
+// injectFault injects one random fault.
+func (c *cluster) injectFault(random *rand.Rand, added *int) {
 	members := c.live()
 	victim := members[random.IntN(len(members))]
 	outage := time.Duration(50+random.IntN(400)) * time.Millisecond
 	switch random.IntN(8) {
 	case 0:
 		c.kill(victim)
-		c.lasts(outage)
+		c.waitOutage(outage)
 		c.start(victim)
 	case 1:
 		for _, m := range members {
 			c.kill(m)
 		}
-		c.lasts(outage)
+		c.waitOutage(outage)
 		for _, m := range members {
 			c.start(m)
 		}
@@ -148,32 +148,32 @@
 		c.wipeOne(random, members, victim)
 	case 4:
 		c.links.set(victim.address, true)
-		c.lasts(2 * outage)
+		c.waitOutage(2 * outage)
 		c.links.set(victim.address, false)
 	case 5:
 		c.kill(victim)
-		c.forget(victim)
+		c.remove(victim)
 		*added++
 		c.add(fmt.Sprintf("added-%d", *added))
 	case 6:
 		c.store.setDown(true)
-		c.lasts(outage)
+		c.waitOutage(outage)
 		c.store.setDown(false)
 	case 7:
 		c.retireOne(random, members, victim, added)
 	}
 }
 
-// lasts waits while a fault lasts, or until the test has failed.
-func (c *cluster) lasts(outage time.Duration) {
+// waitOutage waits for the duration of a fault, or until the test has failed.
+func (c *cluster) waitOutage(outage time.Duration) {
 	select {
 	case <-time.After(outage):
 	case <-c.t.Context().Done():
 	}
 }
 
-// retireOne has a machine emptied, at times while another one is down, and then brings a new one in its place. If it
-// can't be emptied soon, the operator withdraws the request.
+// retireOne retires a machine, sometimes while another one is down, and then adds a replacement. A retirement that
+// takes too long is withdrawn.
 func (c *cluster) retireOne(random *rand.Rand, members []*machine, victim *machine, added *int) {
 	var down *machine
 	if other := members[random.IntN(len(members))]; other != victim && random.IntN(2) == 0 {
@@ -181,14 +181,14 @@
 		c.kill(down)
 	}
 	victim.retiring.Store(true)
-	patience := time.After(retirePatience)
-	look := time.NewTicker(writerPause)
-	defer look.Stop()
+	timeout := time.After(retireTimeout)
+	ticker := time.NewTicker(writeInterval)
+	defer ticker.Stop()
 	for waiting := true; waiting && !victim.retired.Load(); {
 		select {
-		case <-patience:
+		case <-timeout:
 			waiting = false
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 	if down != nil {
@@ -199,12 +199,12 @@
 		return
 	}
 	c.wipe(victim)
-	c.forget(victim)
+	c.remove(victim)
 	*added++
 	c.add(fmt.Sprintf("added-%d", *added))
 }
 
-// wipeOne loses a disk, at times while all others lose power.
+// wipeOne wipes a disk, sometimes during a power loss of all machines.
 func (c *cluster) wipeOne(random *rand.Rand, members []*machine, victim *machine) {
 	if random.IntN(2) == 0 {
 		for _, m := range members {
@@ -239,10 +239,10 @@
 	return false
 }
 
-func (c *cluster) forget(gone *machine) {
+func (c *cluster) remove(removed *machine) {
 	var kept []*machine
 	for _, m := range c.machines {
-		if m != gone {
+		if m != removed {
 			kept = append(kept, m)
 		}
 	}
@@ -251,10 +251,10 @@
 	c.machinesMutex.Unlock()
 }
 
-// settle waits until all machines are complete members again.
-func (c *cluster) settle(when string) {
+// waitSettled waits until all machines are complete members again.
+func (c *cluster) waitSettled(when string) {
 	c.t.Helper()
-	eventually(c.t, "the cluster is whole "+when, func() bool {
+	eventually(c.t, "the cluster has settled "+when, func() bool {
 		set := c.store.set()
 		for _, m := range c.machines {
 			if !set.Has(m.name) || !m.complete() {
@@ -265,17 +265,17 @@
 	})
 }
 
-// checkDenials reads some of what was kept, and something that never was.
-func (c *cluster) checkDenials(told *ledger, random *rand.Rand) {
+// checkReads reads some acknowledged turns, and one that was never written.
+func (c *cluster) checkReads(acked *acknowledged, random *rand.Rand) {
 	c.t.Helper()
-	told.mutex.Lock()
-	kept := told.kept
-	told.mutex.Unlock()
+	acked.mutex.Lock()
+	kept := acked.kept
+	acked.mutex.Unlock()
 	for range min(len(kept), 5) {
 		id := kept[random.IntN(len(kept))]
 		_, err := c.read(id)
-		assert.Assert(c.t, !apierr.Is(err, apierr.NoSuchTurn), "the kept turn %s was denied", id)
+		assert.Assert(c.t, !apierr.Is(err, apierr.NoSuchTurn), "acknowledged turn %s was denied", id)
 	}
 	opened, err := c.read("forged")
-	assert.Assert(c.t, err != nil, "a turn that never was has the text %v", opened)
+	assert.Assert(c.t, err != nil, "a turn that was never written was found: %v", opened)
 }
--- a/internal/turnstore/record.go
+++ b/internal/turnstore/record.go
@@ -6,18 +6,18 @@
 	"github.com/mountstile/mountstile/internal/conversation"
 )
 
-// A record on disk is one byte for its kind, then its fields in a fixed order: numbers as varints, strings with
-// their length before them, and a turn's text as it is, up to the end. A replica reads its whole log before it
-// serves after a loss of power; in JSON that took it most of the time.
+// A record on disk is a kind byte followed by its fields in a fixed order: numbers as varints, strings with a length
+// prefix, and a turn's text last, without a length. The format is compact because a replica decodes its whole log
+// before it serves after a restart.
 const (
 	turnRecord   = 1
 	chargeRecord = 2
-	// placedChargeRecord is a charge that also names the engine, between its number and its last byte.
-	placedChargeRecord = 3
+	// chargeWithEngineRecord is a charge that also names its engine, between the token count and the last byte.
+	chargeWithEngineRecord = 3
 )
 
-// recordRoom is what the fields of a record take besides a text, as a first guess, in bytes.
-const recordRoom = 128
+// recordOverhead is the initial buffer size for the fields other than the text, in bytes.
+const recordOverhead = 128
 
 func encodeRecords(records []conversation.Record) [][]byte {
 	payloads := make([][]byte, 0, len(records))
@@ -29,7 +29,7 @@
 
 func encodeRecord(record conversation.Record) []byte {
 	if turn := record.Turn; turn != nil {
-		payload := make([]byte, 0, recordRoom+len(turn.Text))
+		payload := make([]byte, 0, recordOverhead+len(turn.Text))
 		payload = append(payload, turnRecord)
 		payload = appendString(payload, turn.ID)
 		payload = appendString(payload, turn.Previous)
@@ -39,16 +39,16 @@
 		return append(payload, turn.Text...)
 	}
 	charge := record.Charge
-	payload := make([]byte, 0, recordRoom)
+	payload := make([]byte, 0, recordOverhead)
 	kind := byte(chargeRecord)
 	if charge.Engine != "" {
-		kind = placedChargeRecord
+		kind = chargeWithEngineRecord
 	}
 	payload = append(payload, kind)
 	payload = appendString(payload, charge.Program)
 	payload = appendString(payload, charge.Turn)
 	payload = binary.AppendVarint(payload, charge.Tokens)
-	if kind == placedChargeRecord {
+	if kind == chargeWithEngineRecord {
 		payload = appendString(payload, charge.Engine)
 	}
 	settled := byte(0)
@@ -63,7 +63,7 @@
 	return append(payload, text...)
 }
 
-// decodeRecord reports false for what is no record.
+// decodeRecord returns false if the payload is not a valid record.
 func decodeRecord(payload []byte) (conversation.Record, bool) {
 	if len(payload) == 0 {
 		return conversation.Record{}, false
@@ -76,9 +76,9 @@
 		}
 		turn.Text = append([]byte(nil), fields.rest...)
 		return conversation.Record{Turn: turn}, !fields.failed
-	case chargeRecord, placedChargeRecord:
+	case chargeRecord, chargeWithEngineRecord:
 		charge := &conversation.Charge{Program: fields.text(), Turn: fields.text(), Tokens: fields.number()}
-		if payload[0] == placedChargeRecord {
+		if payload[0] == chargeWithEngineRecord {
 			charge.Engine = fields.text()
 		}
 		valid := !fields.failed && len(fields.rest) == 1 && fields.rest[0] <= 1
@@ -88,7 +88,7 @@
 	return conversation.Record{}, false
 }
 
-// recordReader takes fields off the front of a record. Once one is damaged, all further ones are empty.
+// recordReader reads fields from the front of a record. After an invalid field, all further ones are zero.
 type recordReader struct {
 	rest   []byte
 	failed bool
--- a/internal/turnstore/record_test.go
+++ b/internal/turnstore/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/mountstile/mountstile/internal/conversation"
 )
 
-func TestRecordsComeBackAsTheyWereWritten(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	for _, record := range []conversation.Record{
 		{Turn: &conversation.Turn{ID: "t2", Previous: "t1", Program: "p", Engine: "e", Text: []byte("{\x00\xff\n"), RetentionMillis: 9}},
 		{Turn: &conversation.Turn{ID: "t"}},
--- a/internal/turnstore/replica.go
+++ b/internal/turnstore/replica.go
@@ -1,6 +1,7 @@
-// Package turnstore keeps turns and budgets on several replicas, without a leader. A record is
-// written once enough replicas have synced it, and read from so many that one of them has it
-// (docs/design/platform.md). Replica is the side with a disk; Client is the side of the gateways.
+// Package turnstore stores turns and budgets on several replicas, without a leader. A write is
+// acknowledged once a write quorum has synced it; reads need a read quorum, which intersects every
+// write quorum (docs/design/platform.md). Replica is the server, which owns a disk; Client is the
+// gateway's side.
 //
 // Usage:
 //
@@ -9,7 +10,7 @@
 //
 //	client := turnstore.NewClient(options, network, logger)
 //	opened, err := client.Open(ctx, turnstore.OpenParams{...})
-//	err = client.Put(ctx, records)
+//	err = client.Put(ctx, program, records)
 package turnstore
 
 import (
@@ -31,46 +32,46 @@
 )
 
 const (
-	// expireInterval is how often records that are no longer kept are dropped.
+	// expireInterval is how often expired records are dropped.
 	expireInterval = 5 * time.Second
-	// digestKeys and fetchKeys bound one answer.
+	// digestKeys and fetchKeys bound the keys in one response.
 	digestKeys = 2000
 	fetchKeys  = 64
-	// failureLinesASecond is how many lines a second tell of records that could not be written.
-	failureLinesASecond = 20
+	// failureLogsPerSecond limits the log lines about failed writes.
+	failureLogsPerSecond = 20
 )
 
-// ReplicaOptions configure a Replica.
+// ReplicaOptions configures a Replica.
 type ReplicaOptions struct {
 	Self   Member
 	Folder string
-	// FirstStart is true only at the very first start of the whole system.
+	// FirstStart is true only at the first start of the whole system, when the first sets are created.
 	FirstStart bool
-	// Copies is the number of disks that may be lost at once, and one.
+	// Copies is how many disks must sync a record: one more than may be lost at once.
 	Copies int
-	// Size is how many members a replica set gets; 0 means all replicas that start with the system. There are as
-	// many sets, each with a shard of the programs, as these replicas are enough for. Replicas beyond that are spares:
-	// they hold what the nearest member of a shard holds, and take the place of a member that is lost.
+	// Size is the number of members of a replica set; 0 means all replicas that start with the system. There are as
+	// many shards, each with a set, as these replicas suffice for. The other replicas are spares: a spare pulls from
+	// the nearest member of a shard and replaces a member that is lost.
 	Size int
-	// Store holds the replica sets. SetKey is the key of the first shard's; those of the others have its number behind a
-	// slash. Each replica that starts with the system writes its name behind CandidatesKey and a slash.
+	// Store holds the replica sets: the first shard's under SetKey, the others' under SetKey, a slash and the shard's
+	// number. Each replica that starts with the system registers under CandidatesKey, a slash and its name.
 	Store         configstore.Store
 	SetKey        string
 	CandidatesKey string
-	// TextBytes is how much of the turns' texts stays in memory, in bytes; the others are read from disk. 0 stands
-	// for 16 MB.
+	// TextBytes bounds the texts kept in memory, in bytes; others are read from disk. 0 means 16 MiB.
 	TextBytes int64
-	// LogBytes is the size of the log, in bytes, from which what is no longer needed is dropped; 0 stands for
-	// that of package turnlog.
+	// LogBytes is the log size, in bytes, above which unneeded records are collected; 0 means the default of package
+	// turnlog.
 	LogBytes int64
-	// IsRetiring tells whether the operator wants the named replica emptied; ReportRetirement tells the operator of this one.
+	// IsRetiring reports whether the operator is retiring the named replica; ReportRetirement reports to the operator
+	// that the retirement of this replica has started, or that it is done.
 	IsRetiring       func(name string) bool
 	ReportRetirement func(ctx context.Context, done bool) error
 	// Metrics may be nil.
 	Metrics *Metrics
 }
 
-// Replica holds turns and budgets on disk. All methods may be called concurrently.
+// Replica stores turns and budgets on disk. All methods may be called concurrently.
 type Replica struct {
 	options ReplicaOptions
 	network *transport.Transport
@@ -78,44 +79,45 @@
 	log     *turnlog.Log
 	texts   *texts
 	folder  *folder
-	// board adds up the calls in flight at engines that gateways report.
+	// board aggregates the calls in flight at engines that gateways report.
 	board *load.Board
-	// incarnation names this process to peers: after a restart, changes are numbered anew.
+	// incarnation identifies this replica's current numbering of its records to peers. It changes with each restart and
+	// each move to another shard, since the numbering starts over.
 	incarnation string
 
 	mutex sync.Mutex
 	state *conversation.State
-	// candidates are the replicas that have started with the system, by name.
+	// candidates are the replicas that started with the system, by name.
 	candidates map[string]Member
-	// sets are the replica sets of all shards; set is that of this replica's.
+	// sets holds the replica sets of all shards; set is the one of this replica's shard.
 	sets sets
 	set  ReplicaSet
-	// shard is what this replica holds, or noShard.
+	// shard is the shard that this replica holds, or noShard.
 	shard int
-	// refusing is true while the replica hands over what it holds.
-	refusing bool
-	// spareHeardAt is when a replica that is no member asked last; follower is the last one that pulled, at followedAt.
-	spareHeardAt time.Time
-	follower     string
-	followedAt   time.Time
-	peers        map[string]*peerProgress
-	setNews      chan struct{}
+	// handingOver is set while the replica sends its records to the remaining members; it rejects writes meanwhile.
+	handingOver bool
+	// spareSeenAt is when a replica that is not a member last sent a request; pullingSpare is the last one that pulled,
+	// at sparePulledAt.
+	spareSeenAt   time.Time
+	pullingSpare  string
+	sparePulledAt time.Time
+	peers         map[string]*peerProgress
+	pullNow       chan struct{}
 
-	// failureLines bounds the log lines on records that could not be written: a disk that stands still refuses
-	// hundreds a second.
-	failureLines *rate.Limiter
+	// failureLogLimiter limits the log lines about failed writes: a stalled disk rejects hundreds a second.
+	failureLogLimiter *rate.Limiter
 
-	// inTouchSince is since when enough members of a shard are heard; zero while they aren't. It belongs to the loop that
-	// changes the replica set.
-	inTouchSince map[int]time.Time
-	// need is the shard that this replica is about to move to. It belongs to the same loop.
-	need shardNeed
-	// retirementBegunAt is when the operator was told of this replica's retirement; zero if it wasn't. It belongs to the
-	// same loop.
-	retirementBegunAt time.Time
+	// quorumContactSince is since when this replica has had contact with a read quorum of each shard; without an entry
+	// if it has none. Only the membership loop uses it.
+	quorumContactSince map[int]time.Time
+	// move is the shard that this replica may move to. Only the membership loop uses it.
+	move pendingMove
+	// retirementStartedAt is when this replica's retirement was reported to the operator; zero if it wasn't. Only the
+	// membership loop uses it.
+	retirementStartedAt time.Time
 }
 
-// NewReplica reads the folder and registers the message handlers.
+// NewReplica loads the log from the data folder and registers the message handlers.
 func NewReplica(options ReplicaOptions, network *transport.Transport, logger *events.Logger) (*Replica, error) {
 	replica := &Replica{
 		options:    options,
@@ -125,14 +127,14 @@
 		peers:      make(map[string]*peerProgress),
 		texts:      newTexts(options.TextBytes),
 		board:      load.NewBoard(),
-		setNews:    make(chan struct{}, 1),
+		pullNow:    make(chan struct{}, 1),
 		sets:       make(sets),
 		candidates: make(map[string]Member),
 		shard:      noShard,
 
-		inTouchSince: make(map[int]time.Time),
-		incarnation:  uuid.NewString(),
-		failureLines: rate.NewLimiter(failureLinesASecond, failureLinesASecond),
+		quorumContactSince: make(map[int]time.Time),
+		incarnation:        uuid.NewString(),
+		failureLogLimiter:  rate.NewLimiter(failureLogsPerSecond, failureLogsPerSecond),
 	}
 	opened, err := openFolder(options.Folder, options.FirstStart)
 	if err != nil {
@@ -157,16 +159,16 @@
 	held := replica.size()
 	logger.Emit(events.ReplicaOpened, events.F("identity", opened.record().Identity), events.F("complete", opened.record().Complete),
 		events.F("shard", replica.shard), events.F("epoch", replica.set.Epoch), events.F("turns", held.turns), events.F("programs", held.programs), events.F("bytes", replica.texts.size()))
-	options.Metrics.show(replica)
-	transport.Handle(network, openKind, measured(options.Metrics, openKind, replica.serveOpen))
-	transport.Handle(network, putKind, measured(options.Metrics, putKind, replica.servePut))
-	transport.Handle(network, digestKind, measured(options.Metrics, digestKind, replica.serveDigest))
-	transport.Handle(network, fetchKind, measured(options.Metrics, fetchKind, replica.serveFetch))
-	transport.Handle(network, fenceKind, measured(options.Metrics, fenceKind, replica.serveFence))
+	options.Metrics.registerGauges(replica)
+	transport.Handle(network, openKind, instrument(options.Metrics, openKind, replica.serveOpen))
+	transport.Handle(network, putKind, instrument(options.Metrics, putKind, replica.servePut))
+	transport.Handle(network, digestKind, instrument(options.Metrics, digestKind, replica.serveDigest))
+	transport.Handle(network, fetchKind, instrument(options.Metrics, fetchKind, replica.serveFetch))
+	transport.Handle(network, fenceKind, instrument(options.Metrics, fenceKind, replica.serveFence))
 	return replica, nil
 }
 
-// needed tells whether a record in the log is the newest version of something that is still kept.
+// needed reports whether a record in the log is still needed.
 func (r *Replica) needed(payload []byte) bool {
 	record, valid := decodeRecord(payload)
 	if !valid {
@@ -177,7 +179,7 @@
 	return r.state.Holds(record.Key())
 }
 
-// Run writes the log, pulls from peers and keeps the replica set until the context ends.
+// Run runs the log, the pulls and the membership changes until the context ends.
 func (r *Replica) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	start := func(task func(context.Context)) {
@@ -190,7 +192,7 @@
 	start(r.log.Run)
 	start(r.expireLoop)
 	start(r.pullLoop)
-	start(r.watchLoop)
+	start(r.otherShardsLoop)
 	start(r.membershipLoop)
 	tasks.Wait()
 }
@@ -225,11 +227,11 @@
 	return r.sets[shard]
 }
 
-// ApplySet takes a set from the catalog or a peer; older ones are ignored.
+// ApplySet applies a set from the catalog or a peer; sets that are not newer are ignored.
 func (r *Replica) ApplySet(set ReplicaSet) {
 	r.mutex.Lock()
 	newer := r.sets.apply(set)
-	first := newer && r.takeFirstShard()
+	first := newer && r.assignFirstShard()
 	own := newer && set.Shard == r.shard
 	if own {
 		r.set = set
@@ -238,23 +240,23 @@
 	if !newer {
 		return
 	}
-	r.logger.Emit(events.ReplicaSetChanged, set.fields()...)
+	r.logger.Emit(events.ReplicaSetChanged, set.logFields()...)
 	if own || first {
-		r.wakePulls()
+		r.triggerPull()
 	}
 }
 
-// wakePulls lets the pull loop begin its next round at once.
-func (r *Replica) wakePulls() {
+// triggerPull makes the pull loop start its next round at once.
+func (r *Replica) triggerPull() {
 	select {
-	case r.setNews <- struct{}{}:
+	case r.pullNow <- struct{}{}:
 	default:
 	}
 }
 
-// newerThan returns the known set of a shard if a request's epoch is older. The error says that this replica holds
-// another shard. One that does not know its shard yet has never left the one that others know it in.
-func (r *Replica) newerThan(shard int, epoch int64) (*ReplicaSet, error) {
+// checkEpoch returns the newer set if a request's epoch is old, and an error if this replica holds another shard. A
+// replica that does not know its shard yet accepts any: it is still in the shard under which its peers know it.
+func (r *Replica) checkEpoch(shard int, epoch int64) (*ReplicaSet, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if set := r.sets[shard]; epoch < set.Epoch {
@@ -266,22 +268,22 @@
 	return nil, nil
 }
 
-// append makes records durable that are not known yet, then applies them.
+// append syncs the records that are not known yet to the log, then applies them.
 func (r *Replica) append(ctx context.Context, records []conversation.Record) error {
-	var news []conversation.Record
+	var unknown []conversation.Record
 	r.mutex.Lock()
 	for _, record := range records {
 		if (record.Turn != nil || record.Charge != nil) && !r.state.Knows(record.Key()) {
-			news = append(news, record)
+			unknown = append(unknown, record)
 		}
 	}
 	r.mutex.Unlock()
-	if len(news) == 0 {
+	if len(unknown) == 0 {
 		return nil
 	}
-	err := r.log.Append(ctx, encodeRecords(news), func(at []turnlog.Position) { r.apply(news, at) })
-	if err != nil && ctx.Err() == nil && r.failureLines.Allow() {
-		r.logger.Emit(events.ReplicaLogFailed, events.F("error", err), events.F("records", len(news)))
+	err := r.log.Append(ctx, encodeRecords(unknown), func(at []turnlog.Position) { r.apply(unknown, at) })
+	if err != nil && ctx.Err() == nil && r.failureLogLimiter.Allow() {
+		r.logger.Emit(events.ReplicaLogFailed, events.F("error", err), events.F("records", len(unknown)))
 	}
 	return err
 }
@@ -295,8 +297,8 @@
 	}
 }
 
-// applyOne takes a record that lies on disk. The text of a turn is not held in the state. The caller holds the
-// mutex, or nobody else knows the replica yet.
+// applyOne applies a record that is on disk. The text of a turn is kept in texts, not in the state. The caller holds
+// the mutex, or the replica is not shared yet.
 func (r *Replica) applyOne(now time.Time, record conversation.Record, at turnlog.Position) {
 	if record.Turn != nil {
 		r.texts.put(record.Turn.ID, record.Turn.Text, at)
@@ -307,115 +309,115 @@
 	r.state.Apply(now, record)
 }
 
-// moved learns where a record lies from now on.
+// moved updates the position of a record that log collection has moved.
 func (r *Replica) moved(payload []byte, at turnlog.Position) {
 	if record, valid := decodeRecord(payload); valid && record.Turn != nil {
 		r.texts.move(record.Turn.ID, at)
 	}
 }
 
-var errHandingOver = apierr.New(apierr.TurnsUnavailable, apierr.NotRun, "the replica hands over what it holds")
+var errHandingOver = apierr.New(apierr.TurnsUnavailable, apierr.NotRun, "the replica is handing over its records")
 
-// open reserves a turn's tokens and finds the turns before it.
-func (r *Replica) open(ctx context.Context, request openRequest) (openAnswer, error) {
-	if newer, err := r.newerThan(request.Shard, request.Epoch); newer != nil || err != nil {
-		return openAnswer{Newer: newer}, err
+// open reserves a turn's tokens and reads its previous turns.
+func (r *Replica) open(ctx context.Context, request openRequest) (openResponse, error) {
+	if newer, err := r.checkEpoch(request.Shard, request.Epoch); newer != nil || err != nil {
+		return openResponse{Newer: newer}, err
 	}
 	if request.Reserve != nil {
 		if err := r.append(ctx, []conversation.Record{{Charge: request.Reserve}}); err != nil {
-			return openAnswer{}, err
+			return openResponse{}, err
 		}
 	}
-	answer := r.answerOpen(request)
-	for index := range answer.Chain {
-		text, err := r.texts.get(answer.Chain[index].ID)
+	response := r.buildOpenResponse(request)
+	for index := range response.Chain {
+		text, err := r.texts.get(response.Chain[index].ID)
 		if err != nil {
-			r.logger.Emit(events.ReplicaLogFailed, events.F("error", err), events.F("turn", answer.Chain[index].ID))
-			answer.Missing = answer.Chain[index].ID
-			answer.Chain = answer.Chain[index+1:]
-			return answer, nil
+			r.logger.Emit(events.ReplicaLogFailed, events.F("error", err), events.F("turn", response.Chain[index].ID))
+			response.Missing = response.Chain[index].ID
+			response.Chain = response.Chain[index+1:]
+			return response, nil
 		}
-		answer.Chain[index].Text = text
+		response.Chain[index].Text = text
 	}
-	return answer, nil
+	return response, nil
 }
 
-// answerOpen is the answer but for the texts of the turns.
-func (r *Replica) answerOpen(request openRequest) openAnswer {
+// buildOpenResponse returns the response without the texts of the turns.
+func (r *Replica) buildOpenResponse(request openRequest) openResponse {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	answer := openAnswer{Complete: r.folder.record().Complete}
+	response := openResponse{Complete: r.folder.record().Complete}
 	if request.Reserve != nil {
-		answer.Charges = r.state.Charges(request.Reserve.Program)
-		answer.Engine = r.state.Engine(request.Reserve.Program)
+		response.Charges = r.state.Charges(request.Reserve.Program)
+		response.Engine = r.state.Engine(request.Reserve.Program)
 	}
 	if request.Previous == "" {
-		return answer
+		return response
 	}
-	answer.Known = r.state.HasTurn(request.Previous)
+	response.Known = r.state.HasTurn(request.Previous)
 	if request.WithText {
-		answer.Chain, answer.Missing = r.state.Chain(request.Previous)
+		response.Chain, response.Missing = r.state.Chain(request.Previous)
 	}
-	return answer
+	return response
 }
 
-func (r *Replica) servePut(ctx context.Context, _ transport.Peer, request putRequest) (putAnswer, error) {
-	if newer, err := r.newerThan(request.Shard, request.Epoch); newer != nil || err != nil {
-		return putAnswer{Newer: newer}, err
+func (r *Replica) servePut(ctx context.Context, _ transport.Peer, request putRequest) (putResponse, error) {
+	if newer, err := r.checkEpoch(request.Shard, request.Epoch); newer != nil || err != nil {
+		return putResponse{Newer: newer}, err
 	}
 	r.mutex.Lock()
-	refusing := r.refusing
+	handingOver := r.handingOver
 	r.mutex.Unlock()
-	if refusing {
-		return putAnswer{}, errHandingOver
+	if handingOver {
+		return putResponse{}, errHandingOver
 	}
-	return putAnswer{}, r.append(ctx, request.Records)
+	return putResponse{}, r.append(ctx, request.Records)
 }
 
-func (r *Replica) serveDigest(_ context.Context, _ transport.Peer, request digestRequest) (digestAnswer, error) {
+func (r *Replica) serveDigest(_ context.Context, _ transport.Peer, request digestRequest) (digestResponse, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.shard != noShard && r.shard != request.Shard {
-		return digestAnswer{}, apierr.New(apierr.TurnsUnavailable, apierr.NotRun, "the replica holds shard %d, not %d", r.shard, request.Shard)
+		return digestResponse{}, apierr.New(apierr.TurnsUnavailable, apierr.NotRun, "the replica holds shard %d, not %d", r.shard, request.Shard)
 	}
 	now := time.Now()
 	if !r.set.Has(request.From) {
-		r.spareHeardAt = now
-		if !request.Presence {
-			r.follower, r.followedAt = request.From, now
+		r.spareSeenAt = now
+		if !request.Heartbeat {
+			r.pullingSpare, r.sparePulledAt = request.From, now
 		}
 	}
 	after := request.After
-	if request.Identity != r.incarnation {
+	if request.Incarnation != r.incarnation {
 		after = 0
 	}
-	answer := digestAnswer{Identity: r.incarnation, Complete: r.folder.record().Complete}
-	answer.Followed = r.follower != request.From && now.Sub(r.followedAt) < spareHeardFor
-	if !request.Presence {
-		answer.Keys, answer.Sequence = r.state.KeysSince(after, digestKeys)
+	response := digestResponse{Incarnation: r.incarnation, Complete: r.folder.record().Complete}
+	response.SparePulling = r.pullingSpare != request.From && now.Sub(r.sparePulledAt) < spareSeenWindow
+	if !request.Heartbeat {
+		response.Keys, response.Sequence = r.state.KeysSince(after, digestKeys)
 	}
 	if r.set.Epoch > request.Epoch {
 		set := r.set
-		answer.ReplicaSet = &set
+		response.ReplicaSet = &set
 	}
-	return answer, nil
+	return response, nil
 }
 
-func (r *Replica) serveFetch(_ context.Context, _ transport.Peer, request fetchRequest) (fetchAnswer, error) {
+func (r *Replica) serveFetch(_ context.Context, _ transport.Peer, request fetchRequest) (fetchResponse, error) {
 	r.mutex.Lock()
-	var answer fetchAnswer
+	var response fetchResponse
 	for _, key := range request.Keys[:min(len(request.Keys), fetchKeys)] {
 		if record, found := r.state.Record(key); found {
-			answer.Records = append(answer.Records, record)
+			response.Records = append(response.Records, record)
 		}
 	}
 	r.mutex.Unlock()
-	return answer, r.fillTexts(answer.Records)
+	return response, r.loadTexts(response.Records)
 }
 
-// fillTexts gives turns their texts. A record that can't be read is a failure: whoever asked would take
-// an answer without it for all that there is.
-func (r *Replica) fillTexts(records []conversation.Record) error {
+// loadTexts fills in the texts of turns. An unreadable record is an error, because the requester would take a response
+// without it for complete.
+func (r *Replica) loadTexts(records []conversation.Record) error {
 	for _, record := range records {
 		if record.Turn == nil {
 			continue
@@ -430,15 +432,15 @@
 	return nil
 }
 
-// serveFence makes the replica refuse older epochs from now on, also after a restart.
-func (r *Replica) serveFence(_ context.Context, _ transport.Peer, request fenceRequest) (fenceAnswer, error) {
+// serveFence makes the replica reject older epochs, also after a restart.
+func (r *Replica) serveFence(_ context.Context, _ transport.Peer, request fenceRequest) (fenceResponse, error) {
 	r.ApplySet(request.ReplicaSet)
 	set := r.ReplicaSet()
 	if set.Shard != request.ReplicaSet.Shard {
-		return fenceAnswer{}, errors.WithStack(errOtherShard{})
+		return fenceResponse{}, errors.WithStack(errWrongShard{})
 	}
 	if err := r.folder.saveSet(set); err != nil {
-		return fenceAnswer{}, err
+		return fenceResponse{}, err
 	}
-	return fenceAnswer{Epoch: set.Epoch, Complete: r.folder.record().Complete}, nil
+	return fenceResponse{Epoch: set.Epoch, Complete: r.folder.record().Complete}, nil
 }
--- a/internal/turnstore/retirement.go
+++ b/internal/turnstore/retirement.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// pushKeys bounds one message that hands over records.
-	pushKeys = 32
-	// spareWait is how long a member that is to be emptied leaves it to a spare to take its place, while there is one:
-	// spares ask several times a second for what they lack, and take a second or two to join.
-	spareWait = 5 * time.Second
-	// spareHeardFor is how long after its last question a spare counts as being there.
-	spareHeardFor = 2 * time.Second
+	// handoverBatch bounds the records in one handover message.
+	handoverBatch = 32
+	// spareJoinTimeout is how long a retiring member waits to be replaced, as long as there is a live spare. Spares
+	// pull several times a second while a member retires, and join within a few seconds.
+	spareJoinTimeout = 5 * time.Second
+	// spareSeenWindow is how long after its last request a spare counts as alive.
+	spareSeenWindow = 2 * time.Second
 )
 
-// retire waits for a spare to take this replica's place. If none does, the replica hands over all that it holds and
-// leaves the set. While too few others would be left to
-// survive the loss of a disk, it serves on and waits for another replica to join: once it is reported as
-// emptied, its disk is gone. While another member is silent, it waits for a spare to take that one's place, and
-// takes back a change that it has begun: nothing could be written until the silent one is back, which may be never.
+// retire waits for a spare to replace this replica. If none does, the replica hands over its records and leaves the
+// set. It does not leave while the remaining members could not survive the loss of a disk: it keeps serving until
+// another replica joins, because its own disk is removed once the retirement is reported as done. While another member
+// has timed out, it waits for a spare to replace that one and aborts its own change: writes could not reach a quorum of
+// Next until the lost member is back, which may be never.
 func (r *Replica) retire(ctx context.Context, set ReplicaSet) error {
 	self := r.options.Self.Name
 	if !set.Has(self) {
 		return r.options.ReportRetirement(ctx, true)
 	}
 	if set.Changing() && set.ChangedBy != self {
-		return r.takeBack(ctx, set)
+		return r.abortChange(ctx, set)
 	}
-	silent := r.silentMember(set.Members) != ""
-	if set.Changing() && silent {
-		return r.stay(ctx, set)
+	timedOut := r.timedOutMember(set.Members) != ""
+	if set.Changing() && timedOut {
+		return r.cancelRetirement(ctx, set)
 	}
 	if !set.Changing() {
-		if err := r.reportRetirementBegun(ctx, set); err != nil {
+		if err := r.reportRetirementStarted(ctx, set); err != nil {
 			return err
 		}
-		if len(set.Members) <= set.Copies || silent || r.awaitsSpare() {
+		if len(set.Members) <= set.Copies || timedOut || r.spareExpected() {
 			return nil
 		}
 		joint := set
@@ -56,25 +56,25 @@
 	return r.finishRetirement(ctx, set)
 }
 
-// awaitsSpare tells whether a spare is likely to take this replica's place soon.
-func (r *Replica) awaitsSpare() bool {
+// spareExpected reports whether a spare is likely to replace this replica soon.
+func (r *Replica) spareExpected() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return time.Since(r.spareHeardAt) < spareHeardFor && time.Since(r.retirementBegunAt) < spareWait
+	return time.Since(r.spareSeenAt) < spareSeenWindow && time.Since(r.retirementStartedAt) < spareJoinTimeout
 }
 
-// stay takes back a change by which this replica was to leave.
-func (r *Replica) stay(ctx context.Context, joint ReplicaSet) error {
-	if err := r.replaceSet(ctx, joint, takenBack(joint)); err != nil {
+// cancelRetirement aborts the change by which this replica was to leave.
+func (r *Replica) cancelRetirement(ctx context.Context, joint ReplicaSet) error {
+	if err := r.replaceSet(ctx, joint, abortedChange(joint)); err != nil {
 		return err
 	}
-	r.setRefusing(false)
+	r.setHandingOver(false)
 	return nil
 }
 
-// reportRetirementBegun tells the operator once.
-func (r *Replica) reportRetirementBegun(ctx context.Context, set ReplicaSet) error {
-	if !r.retirementBegunAt.IsZero() {
+// reportRetirementStarted reports the start of the retirement to the operator, once.
+func (r *Replica) reportRetirementStarted(ctx context.Context, set ReplicaSet) error {
+	if !r.retirementStartedAt.IsZero() {
 		return nil
 	}
 	r.logger.Emit(events.ReplicaRetiring, events.F("epoch", set.Epoch), events.F("members", len(set.Members)),
@@ -82,69 +82,69 @@
 	if err := r.options.ReportRetirement(ctx, false); err != nil {
 		return err
 	}
-	r.retirementBegunAt = time.Now()
+	r.retirementStartedAt = time.Now()
 	return nil
 }
 
-// finishRetirement hands over once no write of the old epoch can succeed any more.
+// finishRetirement hands over the records once no write of the old epoch can succeed, then leaves the set.
 func (r *Replica) finishRetirement(ctx context.Context, joint ReplicaSet) error {
 	if !r.fence(ctx, joint) {
 		return nil
 	}
-	r.setRefusing(true)
+	r.setHandingOver(true)
 	if !r.handOver(ctx, joint) {
 		return nil
 	}
-	if err := r.replaceSet(ctx, joint, finished(joint)); err != nil {
+	if err := r.replaceSet(ctx, joint, completedChange(joint)); err != nil {
 		return err
 	}
 	return r.options.ReportRetirement(ctx, true)
 }
 
-// takePartAgain undoes a retirement that the operator has withdrawn.
-func (r *Replica) takePartAgain() {
-	r.retirementBegunAt = time.Time{}
-	r.setRefusing(false)
+// resetRetirement resumes normal service after the operator has withdrawn a retirement.
+func (r *Replica) resetRetirement() {
+	r.retirementStartedAt = time.Time{}
+	r.setHandingOver(false)
 }
 
-func (r *Replica) setRefusing(refusing bool) {
+func (r *Replica) setHandingOver(handingOver bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.refusing = refusing
+	r.handingOver = handingOver
 }
 
-// handOver sends everything to the remaining members, and reports whether enough have it.
+// handOver sends all records to the remaining members and reports whether enough have them.
 func (r *Replica) handOver(ctx context.Context, set ReplicaSet) bool {
 	r.mutex.Lock()
 	records := r.state.Records()
 	r.mutex.Unlock()
-	whole := make(map[string]bool)
+	received := make(map[string]bool)
 	for _, member := range set.Next {
-		if r.push(ctx, set, member, records) {
-			whole[member.Name] = true
+		if r.sendRecords(ctx, set, member, records) {
+			received[member.Name] = true
 		}
 	}
-	return len(whole) == len(set.Next) || (len(whole) >= set.Copies && ReplicaSet{Members: set.Next, Copies: set.Copies}.Read(whole))
+	return len(received) == len(set.Next) || (len(received) >= set.Copies && ReplicaSet{Members: set.Next, Copies: set.Copies}.HasReadQuorum(received))
 }
 
-func (r *Replica) push(ctx context.Context, set ReplicaSet, member Member, records []conversation.Record) bool {
+func (r *Replica) sendRecords(ctx context.Context, set ReplicaSet, member Member, records []conversation.Record) bool {
 	for len(records) > 0 {
-		batch := slices.Clone(records[:min(len(records), pushKeys)])
+		batch := slices.Clone(records[:min(len(records), handoverBatch)])
 		records = records[len(batch):]
-		// The texts are put into copies, so that those of one batch at a time are in memory.
+		// Load the texts into copies, so that only one batch of them is in memory at a time.
 		for index, record := range batch {
 			if record.Turn != nil {
 				turn := *record.Turn
 				batch[index].Turn = &turn
 			}
 		}
-		if r.fillTexts(batch) != nil {
+		if r.loadTexts(batch) != nil {
 			return false
 		}
 		callContext, cancel := context.WithTimeout(ctx, pullTimeout)
-		answer, err := transport.Call[putAnswer](callContext, r.network, member.Address, putKind, putRequest{Shard: set.Shard, Epoch: set.Epoch, Records: batch})
+		response, err := transport.Call[putResponse](callContext, r.network, member.Address, putKind, putRequest{Shard: set.Shard, Epoch: set.Epoch, Records: batch})
 		cancel()
-		if err != nil || answer.Newer != nil {
+		if err != nil || response.Newer != nil {
 			return false
 		}
 	}
--- a/internal/turnstore/ask_test.go
+++ b/internal/turnstore/retry_test.go
@@ -14,15 +14,15 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// deadFirst dials so that the first connection to each address takes everything and answers nothing, like one to
-// a machine that lost its power.
-type deadFirst struct {
+// blackholeDialer opens a first connection to each address that accepts all data and never responds, like one to a
+// machine that lost power.
+type blackholeDialer struct {
 	t     *testing.T
 	mutex sync.Mutex
 	seen  map[string]bool
 }
 
-func (d *deadFirst) dial(ctx context.Context, address string) (net.Conn, error) {
+func (d *blackholeDialer) dial(ctx context.Context, address string) (net.Conn, error) {
 	d.mutex.Lock()
 	first := !d.seen[address]
 	d.seen[address] = true
@@ -43,13 +43,13 @@
 	return near, nil
 }
 
-// Replicas that are back are reached at once, also while old connections to them say nothing.
-func TestReplicasThatAreBackAreReachedOverNewConnections(t *testing.T) {
+// Restarted replicas are reached at once, even while old connections to them hang.
+func TestRestartedReplicasAreReachedOverNewConnections(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.put("a", "")
-	dialler := &deadFirst{t: t, seen: make(map[string]bool)}
-	network := transport.New(transport.Options{Cluster: "test", NodeID: "client", Logger: events.Discard(), Dial: dialler.dial})
+	dialer := &blackholeDialer{t: t, seen: make(map[string]bool)}
+	network := transport.New(transport.Options{Cluster: "test", NodeID: "client", Logger: events.Discard(), Dial: dialer.dial})
 	defer network.Close()
 	client := NewClient(ClientOptions{CacheBytes: 1 << 20}, network, events.Discard())
 	client.ApplySet(c.store.set())
@@ -59,10 +59,10 @@
 	assert.Equal(t, string(opened.Prefix), "a;")
 	assert.Assert(t, time.Since(startedAt) < openTimeout)
 
-	dialler.mutex.Lock()
-	clear(dialler.seen)
-	dialler.mutex.Unlock()
-	fresh := transport.New(transport.Options{Cluster: "test", NodeID: "client", Logger: events.Discard(), Dial: dialler.dial})
+	dialer.mutex.Lock()
+	clear(dialer.seen)
+	dialer.mutex.Unlock()
+	fresh := transport.New(transport.Options{Cluster: "test", NodeID: "client", Logger: events.Discard(), Dial: dialer.dial})
 	defer fresh.Close()
 	writer := NewClient(ClientOptions{CacheBytes: 1 << 20}, fresh, events.Discard())
 	writer.ApplySet(c.store.set())
--- a/internal/turnstore/shard.go
+++ b/internal/turnstore/shard.go
@@ -7,23 +7,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turns and charges are divided into shards by program. Each shard has a replica set of its own, and replica sets have
-// no member in common, so that a replica carries the turns of its shard only, and what is lost, emptied or added moves
-// one shard. How many shards there are is decided once, when the system first starts (docs/design/shards.md).
+// Turns and charges are sharded by program. Each shard has a replica set of its own, without members in common, so a
+// replica holds the turns of one shard only, and a lost, retired or added replica affects one shard. The number of
+// shards is fixed when the system first starts (docs/design/shards.md).
 
-// sparesPerShard is how many replicas more than members a shard is reckoned with: a member that is lost or emptied is
-// replaced at once, and spares serve the catalog.
+// sparesPerShard is the number of spares planned for each shard: a spare replaces a lost or retiring member at once,
+// and serves the catalog.
 const sparesPerShard = 1
 
-// shardsFor is how many shards as many replicas can carry with sets of size members.
-func shardsFor(replicas, size int) int {
+// shardCount returns the number of shards that the replicas suffice for, with sets of size members.
+func shardCount(replicas, size int) int {
 	if size <= 0 {
 		return 1
 	}
 	return max(replicas/(size+sparesPerShard), 1)
 }
 
-// shardOf is the shard of a program. Turns without a program share one.
+// shardOf returns the shard of a program. Turns without a program share one shard.
 func shardOf(program string, shards int) int {
 	if shards <= 1 {
 		return 0
@@ -31,14 +31,14 @@
 	return int(xxhash.Sum64String(program) % uint64(shards))
 }
 
-// firstSets divides the first candidates over shards of size members each. Candidates are taken from each zone in turn, so
-// that the members of a set are in as many zones as possible, and so are the spares that are left.
-func firstSets(listed []Member, size, copies int) []ReplicaSet {
-	if size <= 0 || size >= len(listed) {
-		return []ReplicaSet{{Epoch: 1, Members: listed, Copies: copies, Size: len(listed)}}
+// initialSets distributes the candidates over shards of size members each. Members are taken from each zone in
+// rotation, so that the members of a set, and the remaining spares, are spread over as many zones as possible.
+func initialSets(candidates []Member, size, copies int) []ReplicaSet {
+	if size <= 0 || size >= len(candidates) {
+		return []ReplicaSet{{Epoch: 1, Members: candidates, Copies: copies, Size: len(candidates)}}
 	}
-	shards := shardsFor(len(listed), size)
-	ordered := byZonesInTurn(listed)
+	shards := shardCount(len(candidates), size)
+	ordered := interleaveZones(candidates)
 	sets := make([]ReplicaSet, 0, shards)
 	for shard := range shards {
 		members := slices.Clone(ordered[shard*size : (shard+1)*size])
@@ -51,18 +51,18 @@
 	return sets
 }
 
-// byZonesInTurn orders members so that neighbors are in different zones as far as that goes.
-func byZonesInTurn(listed []Member) []Member {
+// interleaveZones orders members so that neighbors are in different zones where possible.
+func interleaveZones(members []Member) []Member {
 	var zones []string
 	byZone := make(map[string][]Member)
-	for _, member := range listed {
+	for _, member := range members {
 		if len(byZone[member.Zone]) == 0 {
 			zones = append(zones, member.Zone)
 		}
 		byZone[member.Zone] = append(byZone[member.Zone], member)
 	}
-	ordered := make([]Member, 0, len(listed))
-	for round := 0; len(ordered) < len(listed); round++ {
+	ordered := make([]Member, 0, len(members))
+	for round := 0; len(ordered) < len(members); round++ {
 		for _, zone := range zones {
 			if round < len(byZone[zone]) {
 				ordered = append(ordered, byZone[zone][round])
@@ -72,8 +72,8 @@
 	return ordered
 }
 
-// setKey is the store's key of a shard's replica set. The first shard has the key itself, as the only one has where turns
-// are not divided.
+// setKey returns the store key of a shard's replica set. The first shard uses the key itself, like a system without
+// shards.
 func setKey(key string, shard int) string {
 	if shard == 0 {
 		return key
@@ -81,10 +81,10 @@
 	return key + "/" + strconv.Itoa(shard)
 }
 
-// sets are the newest replica sets that a node knows, by shard. It is not safe for concurrent use.
+// sets holds the newest known replica sets by shard. It is not safe for concurrent use.
 type sets map[int]ReplicaSet
 
-// apply takes a set unless a newer one of its shard is known, and reports whether it did.
+// apply stores a set if it is newer than the known one of its shard, and reports whether it is.
 func (s sets) apply(set ReplicaSet) bool {
 	if set.Epoch <= s[set.Shard].Epoch {
 		return false
@@ -93,7 +93,7 @@
 	return true
 }
 
-// shards is how many shards there are; 0 while that is not known.
+// shards returns the number of shards; 0 while it is unknown.
 func (s sets) shards() int {
 	for _, set := range s {
 		return max(set.Shards, 1)
@@ -101,10 +101,10 @@
 	return 0
 }
 
-// whole tells whether the sets of all shards are known.
-func (s sets) whole() bool { return len(s) > 0 && len(s) == s.shards() }
+// allKnown reports whether the sets of all shards are known.
+func (s sets) allKnown() bool { return len(s) > 0 && len(s) == s.shards() }
 
-// all returns the sets in the order of their shards.
+// all returns the sets, sorted by shard.
 func (s sets) all() []ReplicaSet {
 	ordered := make([]ReplicaSet, 0, len(s))
 	for _, set := range s {
--- a/internal/turnstore/shard_test.go
+++ b/internal/turnstore/shard_test.go
@@ -14,20 +14,19 @@
 )
 
 func candidatesInZones(count, zones int) []Member {
-	var listed []Member
+	var candidates []Member
 	for index := range count {
-		listed = append(listed, Member{Name: fmt.Sprint("replica-", index), Zone: fmt.Sprint("zone-", index*zones/count)})
+		candidates = append(candidates, Member{Name: fmt.Sprint("replica-", index), Zone: fmt.Sprint("zone-", index*zones/count)})
 	}
-	return listed
+	return candidates
 }
 
-// Each shard's members are in as many zones as they go, no machine is in two sets, and there is a spare for each shard
-// in a zone of its own where there are enough machines.
-func TestFirstSetsShareOutTheMachines(t *testing.T) {
+// The initial sets are disjoint, and the members of each are spread over as many zones as possible.
+func TestInitialSets(t *testing.T) {
 	for _, test := range []struct{ machines, zones, size, shards int }{
 		{3, 3, 3, 1}, {4, 3, 5, 1}, {9, 3, 5, 1}, {11, 4, 5, 1}, {12, 6, 5, 2}, {36, 6, 5, 6}, {8, 3, 3, 2},
 	} {
-		sets := firstSets(candidatesInZones(test.machines, test.zones), test.size, test.size/2+1)
+		sets := initialSets(candidatesInZones(test.machines, test.zones), test.size, test.size/2+1)
 		assert.Equal(t, len(sets), test.shards)
 		seen := make(map[string]bool)
 		for index, set := range sets {
@@ -44,7 +43,7 @@
 	}
 }
 
-// programIn returns a program of a shard.
+// programIn returns a program that belongs to a shard.
 func programIn(shard, shards int) string {
 	for number := 0; ; number++ {
 		if program := fmt.Sprint("program-", number); shardOf(program, shards) == shard {
@@ -53,15 +52,15 @@
 	}
 }
 
-// newSharded starts two shards of three members, and spares.
-func newSharded(t *testing.T, spares int) *cluster {
+// newShardedCluster starts two shards of three members, and spares.
+func newShardedCluster(t *testing.T, spares int) *cluster {
 	t.Helper()
 	c := newClusterWithSpares(t, 3, 3+spares)
 	assert.Equal(t, len(c.store.sets()), 2)
 	return c
 }
 
-func (c *cluster) keep(client *Client, program, id, previous string) error {
+func (c *cluster) putTurn(client *Client, program, id, previous string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	opened, err := client.Open(ctx, OpenParams{Turn: id, Program: program, Previous: previous, Budget: randomBudget, Most: 1})
@@ -80,14 +79,14 @@
 	return c.newClient().Open(ctx, OpenParams{Turn: "next", Program: program, Previous: previous, Budget: -1})
 }
 
-// What a program keeps lies at the members of its shard only.
-func TestShardsDivideTheTurns(t *testing.T) {
+// Turns of a program are stored by the members of its shard only.
+func TestTurnsAreStoredInTheirShard(t *testing.T) {
 	t.Parallel()
-	c := newSharded(t, 2)
+	c := newShardedCluster(t, 2)
 	for shard := range 2 {
 		program := programIn(shard, 2)
-		assert.NilError(t, c.keep(c.client, program, program+"-a", ""))
-		assert.NilError(t, c.keep(c.client, program, program+"-b", program+"-a"))
+		assert.NilError(t, c.putTurn(c.client, program, program+"-a", ""))
+		assert.NilError(t, c.putTurn(c.client, program, program+"-b", program+"-a"))
 		opened, err := c.readAs(program, program+"-b")
 		assert.NilError(t, err)
 		assert.Equal(t, string(opened.Prefix), program+"-a;"+program+"-b;")
@@ -102,17 +101,17 @@
 	assert.Assert(t, apierr.Is(err, apierr.NoSuchTurn), "%v", err)
 }
 
-// A program that goes on from a turn of another shard takes the turns before it along: once its own turn is kept, it
-// does not need the other shard any more.
-func TestProgramGoesOnFromATurnOfAnotherShard(t *testing.T) {
+// A program that continues a turn of another shard copies the previous turns to its own shard, and does not need the
+// other shard afterwards.
+func TestTurnContinuesAcrossShards(t *testing.T) {
 	t.Parallel()
-	c := newSharded(t, 2)
+	c := newShardedCluster(t, 2)
 	older, newer := programIn(0, 2), programIn(1, 2)
-	assert.NilError(t, c.keep(c.client, older, "a", ""))
-	assert.NilError(t, c.keep(c.client, older, "b", "a"))
+	assert.NilError(t, c.putTurn(c.client, older, "a", ""))
+	assert.NilError(t, c.putTurn(c.client, older, "b", "a"))
 	for index, client := range []*Client{c.newClient(), c.client} {
-		// The second client has the turns in memory, and asks nobody for them.
-		assert.NilError(t, c.keep(client, newer, fmt.Sprint("c", index), "b"))
+		// The second client has the previous turns cached and does not request them.
+		assert.NilError(t, c.putTurn(client, newer, fmt.Sprint("c", index), "b"))
 	}
 	for _, member := range c.store.setOf(0).Members {
 		c.kill(c.machineOf(member.Name))
@@ -122,33 +121,33 @@
 		assert.NilError(t, err)
 		assert.Equal(t, string(opened.Prefix), fmt.Sprintf("a;b;c%d;", index))
 	}
-	// Nobody can be sure any more that a turn was never kept.
+	// With one shard lost, NoSuchTurn can no longer be certain.
 	_, err := c.readAs(newer, "never")
 	assert.Assert(t, apierr.Is(err, apierr.TurnsUnavailable), "%v", err)
 	_, err = c.readAs(older, "b")
 	assert.Assert(t, apierr.Is(err, apierr.TurnsUnavailable), "%v", err)
-	assert.Assert(t, c.client.Ready(t.Context()), "the programs of the other shard are served")
+	assert.Assert(t, c.client.Ready(t.Context()), "the other shard must still be served")
 	for _, member := range c.store.setOf(1).Members {
 		c.kill(c.machineOf(member.Name))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	assert.Assert(t, !c.client.Ready(ctx), "nobody is served")
+	assert.Assert(t, !c.client.Ready(ctx), "no shard can be served")
 }
 
-// Spares go where a member is missing, whichever shard they held before: here one is missing in each shard, then once more
-// in the same.
-func TestSparesTakePlacesInAnyShard(t *testing.T) {
+// Spares replace lost members of any shard, whichever shard they held before: first one of each shard, then a second
+// one of the same shard.
+func TestSparesReplaceMembersOfAnyShard(t *testing.T) {
 	t.Parallel()
-	c := newSharded(t, 3)
+	c := newShardedCluster(t, 3)
 	for shard := range 2 {
-		assert.NilError(t, c.keep(c.client, programIn(shard, 2), fmt.Sprint("kept-", shard), ""))
+		assert.NilError(t, c.putTurn(c.client, programIn(shard, 2), fmt.Sprint("kept-", shard), ""))
 	}
 	lose := func(shard int) {
 		lost := c.machineOf(c.store.setOf(shard).Members[0].Name)
 		c.kill(lost)
-		c.forget(lost)
-		eventually(t, "another machine is in its place", func() bool {
+		c.remove(lost)
+		eventually(t, "another machine has replaced it", func() bool {
 			set := c.store.setOf(shard)
 			return !set.Has(lost.name) && !set.Changing() && len(set.Members) == 3
 		})
@@ -158,7 +157,7 @@
 	lose(1)
 	for shard := range 2 {
 		for _, member := range c.store.setOf(shard).Members {
-			assert.Assert(t, c.machineOf(member.Name).complete(), "%s is a member and not complete", member.Name)
+			assert.Assert(t, c.machineOf(member.Name).complete(), "member %s is not complete", member.Name)
 		}
 		opened, err := c.readAs(programIn(shard, 2), fmt.Sprint("kept-", shard))
 		assert.NilError(t, err)
@@ -166,24 +165,23 @@
 	}
 }
 
-// TestRandomFaultsOfShards is TestRandomFaults for two shards and their spares: members are killed, wiped, cut off, lost for good and
-// emptied, and what was kept in either shard is never denied, nor a budget overspent.
-func TestRandomFaultsOfShards(t *testing.T) {
+// TestRandomFaultsSharded is TestRandomFaults for two shards and their spares.
+func TestRandomFaultsSharded(t *testing.T) {
 	t.Parallel()
 	for run := range *randomRuns {
 		seed := *randomSeed + uint64(run)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := newSharded(t, 2)
-			c.playFaults(rand.New(rand.NewPCG(seed, 1)), c.settleShards)
+			c := newShardedCluster(t, 2)
+			c.runFaults(rand.New(rand.NewPCG(seed, 1)), c.waitShardsSettled)
 		})
 	}
 }
 
-// settleShards waits until each shard has its members, and these are there and complete.
-func (c *cluster) settleShards(when string) {
+// waitShardsSettled waits until each shard has all its members, and these are running and complete.
+func (c *cluster) waitShardsSettled(when string) {
 	c.t.Helper()
-	eventually(c.t, "the shards are whole "+when, func() bool {
+	eventually(c.t, "the shards have settled "+when, func() bool {
 		for _, set := range c.store.sets() {
 			if set.Changing() || len(set.Members) != set.Size {
 				return false
@@ -198,28 +196,28 @@
 	})
 }
 
-// A spare that has moved says nothing about its old shard, and answers with the newer set where it knows one.
-func TestReplicaAnswersForItsShardOnly(t *testing.T) {
+// A replica rejects requests for other shards, or returns the newer set if it knows one.
+func TestReplicaServesOnlyItsShard(t *testing.T) {
 	t.Parallel()
-	c := newSharded(t, 2)
+	c := newShardedCluster(t, 2)
 	member := c.machineOf(c.store.setOf(1).Members[0].Name).process.replica
-	eventually(t, "it knows both sets, and its shard is on disk", func() bool {
+	eventually(t, "the replica knows both sets and has saved its shard", func() bool {
 		return member.setOf(0).Epoch > 0 && member.folder.record().Assigned
 	})
-	_, err := member.newerThan(0, c.store.setOf(0).Epoch)
+	_, err := member.checkEpoch(0, c.store.setOf(0).Epoch)
 	assert.Assert(t, apierr.Is(err, apierr.TurnsUnavailable), "%v", err)
-	newer, err := member.newerThan(0, 0)
+	newer, err := member.checkEpoch(0, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, newer.Shard, 0)
-	assert.Assert(t, member.folder.saveSet(c.store.setOf(0)) != nil, "the set of another shard was taken")
+	assert.Assert(t, member.folder.saveSet(c.store.setOf(0)) != nil, "the set of another shard was saved")
 }
 
-// A replica whose disk has a shard takes it up at its start, before it has heard of any set.
-func TestShardIsRememberedOnDisk(t *testing.T) {
+// A replica restores its shard assignment from disk before it knows any set.
+func TestShardAssignmentPersists(t *testing.T) {
 	t.Parallel()
-	c := newSharded(t, 2)
+	c := newShardedCluster(t, 2)
 	m := c.machineOf(c.store.setOf(1).Members[0].Name)
-	eventually(t, "the shard is on disk", func() bool { return m.process.replica.folder.record().Assigned })
+	eventually(t, "the shard assignment is saved", func() bool { return m.process.replica.folder.record().Assigned })
 	c.kill(m)
 	opened, err := openFolder(m.folder, false)
 	assert.NilError(t, err)
@@ -227,23 +225,23 @@
 	assert.Assert(t, opened.record().Complete)
 	moved := c.store.setOf(0)
 	assert.NilError(t, opened.saveShard(moved))
-	assert.Assert(t, !opened.record().Complete, "it is complete in a shard of which it has nothing")
+	assert.Assert(t, !opened.record().Complete, "complete in a shard of which it holds no records")
 }
 
-// A member must not take another member for a spare: it would wait in vain for a spare to take its place.
-func TestMembersAreNotTakenForSpares(t *testing.T) {
+// A member must not count another member as a spare: a retiring member would wait in vain for it to join.
+func TestMembersDoNotCountAsSpares(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	started := time.Now()
+	startedAt := time.Now()
 	for _, m := range c.machines {
-		eventually(t, "each has heard all others", func() bool { return m.process.replica.hearsAll(c.store.set().Members) })
+		eventually(t, "each replica has contact with all others", func() bool { return m.process.replica.hasContactWithAll(c.store.set().Members) })
 	}
-	eventually(t, "some rounds of questions have passed", func() bool { return time.Since(started) > 3*pullInterval })
+	eventually(t, "some pull rounds have passed", func() bool { return time.Since(startedAt) > 3*pullInterval })
 	for _, m := range c.machines {
 		replica := m.process.replica
 		replica.mutex.Lock()
-		heard := replica.spareHeardAt
+		seenAt := replica.spareSeenAt
 		replica.mutex.Unlock()
-		assert.Assert(t, heard.IsZero() || heard.Before(started), "%s took a member for a spare", m.name)
+		assert.Assert(t, seenAt.IsZero() || seenAt.Before(startedAt), "%s counted a member as a spare", m.name)
 	}
 }
--- a/internal/turnstore/texts.go
+++ b/internal/turnstore/texts.go
@@ -6,14 +6,13 @@
 	"github.com/mountstile/mountstile/internal/turnlog"
 )
 
-// defaultTextBytes is how much text stays in memory by default.
+// defaultTextBytes is the default limit of texts in memory.
 const defaultTextBytes = 16 << 20
 
-// textReadAttempts bounds how often a text is read whose record is moved at the same time.
+// textReadAttempts bounds the reads of a text whose record is being moved by log collection.
 const textReadAttempts = 3
 
-// texts are the texts of turns. All lie on disk; those that were written last are in memory too, for most
-// turns are continued soon.
+// texts holds the texts of turns. All are on disk; the newest are also in memory, since most turns are continued soon.
 type texts struct {
 	log   *turnlog.Log
 	limit int64
@@ -22,8 +21,8 @@
 	entries  map[string]*textEntry
 	resident int64
 	total    int64
-	// newest are the IDs of the texts in memory, in the order in which they came.
-	newest []string
+	// residentIDs are the turns whose texts are in memory, oldest first.
+	residentIDs []string
 }
 
 type textEntry struct {
@@ -33,11 +32,11 @@
 	resident bool
 }
 
-// errUnknownText means that there is no text of a turn.
-type errUnknownText struct{ turn string }
+// errTextNotFound means that no text of a turn is stored.
+type errTextNotFound struct{ turn string }
 
 // Error implements error.
-func (e errUnknownText) Error() string { return "there is no text of turn " + e.turn }
+func (e errTextNotFound) Error() string { return "no text is stored for turn " + e.turn }
 
 func newTexts(limit int64) *texts {
 	if limit == 0 {
@@ -49,23 +48,23 @@
 func (t *texts) put(turn string, text []byte, at turnlog.Position) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.entries[turn]; known != nil {
-		known.at = at
+	if existing := t.entries[turn]; existing != nil {
+		existing.at = at
 		return
 	}
 	size := int64(len(text))
 	t.entries[turn] = &textEntry{at: at, bytes: size, text: text, resident: true}
 	t.total += size
 	t.resident += size
-	t.newest = append(t.newest, turn)
-	for t.resident > t.limit && len(t.newest) > 0 {
-		t.release(t.newest[0])
-		t.newest = t.newest[1:]
+	t.residentIDs = append(t.residentIDs, turn)
+	for t.resident > t.limit && len(t.residentIDs) > 0 {
+		t.evict(t.residentIDs[0])
+		t.residentIDs = t.residentIDs[1:]
 	}
 }
 
-// release takes a text out of memory.
-func (t *texts) release(turn string) {
+// evict removes a text from memory.
+func (t *texts) evict(turn string) {
 	entry := t.entries[turn]
 	if entry == nil || !entry.resident {
 		return
@@ -88,23 +87,23 @@
 	defer t.mutex.Unlock()
 	for _, turn := range turns {
 		if entry := t.entries[turn]; entry != nil {
-			t.release(turn)
+			t.evict(turn)
 			t.total -= entry.bytes
 			delete(t.entries, turn)
 		}
 	}
 }
 
-// clear forgets all texts.
+// clear removes all texts.
 func (t *texts) clear() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.entries = make(map[string]*textEntry)
-	t.newest = nil
+	t.residentIDs = nil
 	t.resident, t.total = 0, 0
 }
 
-// size is the bytes of all texts, on disk or in memory.
+// size returns the total size of all texts, on disk or in memory, in bytes.
 func (t *texts) size() int64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -113,13 +112,13 @@
 
 // get returns a text from memory or from disk.
 func (t *texts) get(turn string) ([]byte, error) {
-	var last error
+	var lastErr error
 	for range textReadAttempts {
 		t.mutex.Lock()
 		entry := t.entries[turn]
 		if entry == nil {
 			t.mutex.Unlock()
-			return nil, errUnknownText{turn: turn}
+			return nil, errTextNotFound{turn: turn}
 		}
 		text, at, resident := entry.text, entry.at, entry.resident
 		t.mutex.Unlock()
@@ -128,14 +127,14 @@
 		}
 		payload, err := t.log.Read(at)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		record, valid := decodeRecord(payload)
 		if !valid || record.Turn == nil || record.Turn.ID != turn {
-			return nil, errUnknownText{turn: turn}
+			return nil, errTextNotFound{turn: turn}
 		}
 		return record.Turn.Text, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
--- a/internal/turnstore/turnstore_test.go
+++ b/internal/turnstore/turnstore_test.go
@@ -16,7 +16,7 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-func TestChainIsRebuiltForAnyClient(t *testing.T) {
+func TestOpenReturnsChainToAnyClient(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.put("a", "")
@@ -29,8 +29,8 @@
 	assert.Assert(t, apierr.Is(err, apierr.NoSuchTurn), "%v", err)
 }
 
-// "No such turn" needs certainty: with two of three replicas silent, nobody can be sure.
-func TestNoCertaintyWithoutEnoughReplicas(t *testing.T) {
+// NoSuchTurn requires a read quorum: with two of three replicas lost, the error is TurnsUnavailable.
+func TestNoSuchTurnNeedsReadQuorum(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.kill(c.machines[0])
@@ -44,8 +44,8 @@
 	assert.Assert(t, failure.RetryAfter > 0)
 }
 
-// A disk is lost right after the acknowledgement while all others lose power: the turn is there.
-func TestDiskLostWhileAllOthersLosePower(t *testing.T) {
+// A disk is lost right after the acknowledgement while all other machines lose power. The turn must survive.
+func TestDiskLossDuringPowerLoss(t *testing.T) {
 	t.Parallel()
 	for lost := range 4 {
 		t.Run(fmt.Sprint(lost), func(t *testing.T) {
@@ -62,7 +62,7 @@
 			}
 			eventually(t, "the turn is served", func() bool {
 				opened, err := c.read("a")
-				assert.Assert(t, !apierr.Is(err, apierr.NoSuchTurn), "a kept turn was denied")
+				assert.Assert(t, !apierr.Is(err, apierr.NoSuchTurn), "an acknowledged turn was denied")
 				return err == nil && string(opened.Prefix) == "a;"
 			})
 			eventually(t, "the empty replica has caught up", func() bool {
@@ -72,13 +72,13 @@
 	}
 }
 
-// A replica whose disk was lost must not say "no" before it has everything again.
-func TestEmptyReplicaDeniesNothing(t *testing.T) {
+// A replica that lost its disk must not deny turns before it has caught up.
+func TestWipedReplicaDoesNotDenyTurns(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.kill(c.machines[2])
 	c.put("a", "")
-	// The client offers the record to the third machine for a while; it must not get it when it is back.
+	// Stop the client's background writes, or the third machine would receive the record when it is back.
 	c.client.network.Close()
 	c.wipe(c.machines[0])
 	c.kill(c.machines[1])
@@ -90,13 +90,13 @@
 	}
 	assert.Assert(t, !c.machines[0].complete())
 	c.start(c.machines[1])
-	eventually(t, "the turn is back", func() bool {
+	eventually(t, "the turn is readable again", func() bool {
 		_, err := c.read("a")
 		return err == nil
 	})
 }
 
-func TestBudgetIsNeverOverspent(t *testing.T) {
+func TestBudgetIsNotExceeded(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	clients := []*Client{c.newClient(), c.newClient(), c.newClient()}
@@ -115,7 +115,7 @@
 	assert.Assert(t, admitted.Load() <= 3, "%d turns of 30 in a budget of 100", admitted.Load())
 }
 
-func TestSettledTurnsGiveBackWhatTheyDidNotUse(t *testing.T) {
+func TestSettleReleasesUnusedTokens(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	one, err := c.open(c.client, "one", 100, 60)
@@ -124,51 +124,50 @@
 	assert.Assert(t, apierr.Is(err, apierr.BudgetExceeded), "%v", err)
 	assert.Equal(t, apierr.From(err, apierr.OutcomeUnknown).Outcome, apierr.NotRun)
 	c.client.Settle(one, 9, "")
-	eventually(t, "there is room again", func() bool { return c.reserve(c.newClient(), "three", 100, 60) == nil })
+	eventually(t, "the budget has room again", func() bool { return c.reserve(c.newClient(), "three", 100, 60) == nil })
 	for _, m := range c.machines {
 		c.kill(m)
 	}
 	for _, m := range c.machines {
 		c.start(m)
 	}
-	eventually(t, "what was spent is known after a loss of power", func() bool {
+	eventually(t, "the charge is known after the restart", func() bool {
 		return apierr.Is(c.reserve(c.newClient(), "four", 100, 60), apierr.BudgetExceeded)
 	})
 }
 
-// A machine that is gone for good is replaced by one with another name, without the operator; then
-// the loss of another one is borne again.
-// A caller that was refused sends its request again with the same ID: the charge of the refusal, which was
-// settled at nothing, must not hide what the second one generates.
-func TestRefusedTurnThatIsSentAgainIsCharged(t *testing.T) {
+// A caller retries a rejected turn with the same ID: the rejection's charge, settled at zero, must not hide the charge
+// of the retry.
+func TestRetriedTurnIsCharged(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	one, err := c.open(c.client, "one", 100, 60)
 	assert.NilError(t, err)
 	assert.Assert(t, apierr.Is(c.reserve(c.client, "two", 100, 60), apierr.BudgetExceeded))
 	c.client.Settle(one, 20, "")
-	eventually(t, "the refusal is settled", c.client.idle)
+	eventually(t, "the rejection is settled", c.client.idle)
 	var two *OpenedTurn
-	eventually(t, "there is room for the second try", func() bool {
+	eventually(t, "the budget has room for the retry", func() bool {
 		two, err = c.open(c.client, "two", 100, 60)
 		return err == nil
 	})
 	c.client.Settle(two, 60, "")
-	eventually(t, "the second try is settled", c.client.idle)
+	eventually(t, "the retry is settled", c.client.idle)
 	err = c.reserve(c.newClient(), "three", 100, 60)
 	assert.Assert(t, apierr.Is(err, apierr.BudgetExceeded), "%v", err)
 }
 
-func TestReplacedMachine(t *testing.T) {
+// A machine that is lost for good is replaced by a new one without the operator; then another loss is tolerated.
+func TestNewcomerReplacesLostMember(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4)
 	c.put("a", "")
-	gone := c.machines[0]
-	c.kill(gone)
+	lost := c.machines[0]
+	c.kill(lost)
 	added := c.add("newcomer")
 	eventually(t, "the newcomer is a member", func() bool {
 		set := c.store.set()
-		return !set.Changing() && set.Has("newcomer") && !set.Has(gone.name)
+		return !set.Changing() && set.Has("newcomer") && !set.Has(lost.name)
 	})
 	assert.Equal(t, added.turns(), 1)
 	c.kill(c.machines[1])
@@ -180,19 +179,19 @@
 	assert.Assert(t, apierr.Is(err, apierr.NoSuchTurn), "%v", err)
 }
 
-// One machine more than the set has room for pulls, but does not join.
-func TestSpareDoesNotJoin(t *testing.T) {
+// A replica beyond the set's size pulls, but does not join.
+func TestSpareDoesNotJoinFullSet(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.put("a", "")
 	spare := c.add("spare")
-	eventually(t, "the spare has everything", func() bool { return spare.turns() == 1 })
+	eventually(t, "the spare has the turn", func() bool { return spare.turns() == 1 })
 	assert.Assert(t, !c.store.set().Has("spare"))
 }
 
-// The set has no more members than it needs, one in each zone; the others are spares that hold everything,
-// and one of them takes the place of a member that is lost.
-func TestSpareTakesThePlaceOfALostMember(t *testing.T) {
+// The set has no more members than its size, one in each zone; the others are spares that hold all records, and one of
+// them replaces a lost member.
+func TestSpareReplacesLostMember(t *testing.T) {
 	t.Parallel()
 	c := newClusterWithSpares(t, 3, 3)
 	zones := make(map[string]bool)
@@ -208,7 +207,7 @@
 		set := c.store.set()
 		lost := c.machineOf(set.Members[0].Name)
 		c.wipe(lost)
-		c.forget(lost)
+		c.remove(lost)
 		eventually(t, "a spare is a member", func() bool {
 			now := c.store.set()
 			return !now.Changing() && len(now.Members) == 3 && !now.Has(lost.name)
@@ -221,43 +220,43 @@
 	assert.Assert(t, apierr.Is(err, apierr.NoSuchTurn), "%v", err)
 }
 
-// A member that is cut off from the others, but reaches the store, loses its place to a spare once. It takes the
-// others for silent, and must neither take a place of theirs while it is cut off nor when the ways come back.
-func TestMemberThatWasCutOffTakesNobodysPlace(t *testing.T) {
+// A member that is partitioned from the others, but reaches the store, is replaced by a spare once. The others look
+// lost to it, but it must not replace any, neither during the partition nor while its connections come back.
+func TestPartitionedMemberReplacesNobody(t *testing.T) {
 	t.Parallel()
 	c := newClusterWithSpares(t, 3, 1)
 	c.put("a", "")
-	cut := c.machineOf(c.store.set().Members[0].Name)
+	partitioned := c.machineOf(c.store.set().Members[0].Name)
 	eventually(t, "the member has pulled from the others", func() bool {
-		replica := cut.process.replica
+		replica := partitioned.process.replica
 		replica.mutex.Lock()
 		defer replica.mutex.Unlock()
-		return replica.pulledEnough(time.Time{})
+		return replica.pulledReadQuorum(time.Time{})
 	})
-	c.links.set(cut.address, true)
+	c.links.set(partitioned.address, true)
 	replaced := func() bool {
 		set := c.store.set()
-		return !set.Changing() && !set.Has(cut.name) && len(set.Members) == 3
+		return !set.Changing() && !set.Has(partitioned.name) && len(set.Members) == 3
 	}
 	eventually(t, "the spare is a member", replaced)
 	epoch := c.store.set().Epoch
-	settle := time.NewTimer(silentAfter + 2*time.Second)
-	defer settle.Stop()
-	<-settle.C
-	assert.Equal(t, c.store.set().Epoch, epoch, "the replica that is cut off changed the set")
-	c.links.set(cut.address, false)
+	timer := time.NewTimer(memberTimeout + 2*time.Second)
+	defer timer.Stop()
+	<-timer.C
+	assert.Equal(t, c.store.set().Epoch, epoch, "the partitioned replica changed the set")
+	c.links.set(partitioned.address, false)
 	c.put("b", "a")
-	eventually(t, "the machine is a spare that has everything", func() bool { return cut.turns() == 2 })
-	settle.Reset(time.Second)
-	<-settle.C
-	assert.Equal(t, c.store.set().Epoch, epoch, "the replica that came back changed the set")
+	eventually(t, "the machine has caught up as a spare", func() bool { return partitioned.turns() == 2 })
+	timer.Reset(time.Second)
+	<-timer.C
+	assert.Equal(t, c.store.set().Epoch, epoch, "the reconnected replica changed the set")
 	_, err := c.read("b")
 	assert.NilError(t, err)
 }
 
-// Machines that start together must not get in each other's way at the store, or the system is not there when
-// callers come: each writes one key of its own, and one of them writes the sets.
-func TestCandidatesTryFewChanges(t *testing.T) {
+// Machines that start together must not conflict at the store, which would delay the start of the system: each writes
+// one key of its own, and one of them writes the sets.
+func TestBootstrapMakesFewStoreWrites(t *testing.T) {
 	t.Parallel()
 	const machines = 12
 	c := newClusterWithSpares(t, 3, machines-3)
@@ -267,12 +266,11 @@
 	}
 	c.store.mutex.Lock()
 	defer c.store.mutex.Unlock()
-	assert.Assert(t, c.store.swaps <= machines+1, "%d changes were tried", c.store.swaps)
+	assert.Assert(t, c.store.swaps <= machines+1, "%d writes were attempted", c.store.swaps)
 }
 
-// A machine that was a member, became a spare and joins again is new to the members: what they remember of it is
-// old, and must not pass for silence.
-func TestFormerMemberIsNotSilentWhenItIsAskedAgain(t *testing.T) {
+// A former member that joins again must not time out because of contact times from its earlier membership.
+func TestFormerMemberDoesNotTimeOutAtOnce(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	replica := c.machines[0].process.replica
@@ -281,51 +279,51 @@
 	replica.mutex.Lock()
 	progress := replica.peers[former.Name]
 	longAgo := time.Now().Add(-time.Minute)
-	progress.heardAt, progress.firstAskedAt, progress.askedAt = longAgo, longAgo, longAgo
-	before := replica.silent(former.Name)
+	progress.lastResponseAt, progress.firstRequestAt, progress.lastRequestAt = longAgo, longAgo, longAgo
+	before := replica.timedOut(former.Name)
 	replica.mutex.Unlock()
-	assert.Assert(t, !before, "one that nobody asks counts as silent")
+	assert.Assert(t, !before, "a peer that is not contacted has timed out")
 	replica.progressOf(former)
 	replica.mutex.Lock()
 	defer replica.mutex.Unlock()
-	assert.Assert(t, !replica.silent(former.Name))
+	assert.Assert(t, !replica.timedOut(former.Name))
 }
 
-// A replica that has everything lists the keys of one other at a time: a member those of each in turn, a
-// spare those of the member in its zone.
-func TestCompleteReplicaListsTheKeysOfOneOther(t *testing.T) {
+// A complete replica pulls from one peer at a time: a member from each peer in rotation, a spare from the member in its
+// zone.
+func TestCompleteReplicaPullsFromOnePeer(t *testing.T) {
 	t.Parallel()
 	c := newClusterWithSpares(t, 3, 1)
 	member := c.machineOf(c.store.set().Members[0].Name).process.replica
-	eventually(t, "the member is not in haste", func() bool { return !member.pullsHastily() })
-	asked := make(map[string]bool)
+	eventually(t, "the member has caught up", func() bool { return !member.needsFastPull() })
+	sources := make(map[string]bool)
 	for round := range 2 {
-		asked[member.source(member.others(), round).Name] = true
+		sources[member.pullSource(member.others(), round).Name] = true
 	}
-	assert.Equal(t, len(asked), 2)
+	assert.Equal(t, len(sources), 2)
 	for _, m := range c.machines {
 		if set := c.store.set(); !set.Has(m.name) {
 			spare := m.process.replica
-			eventually(t, "the spare is not in haste", func() bool { return !spare.pullsHastily() })
+			eventually(t, "the spare has caught up", func() bool { return !spare.needsFastPull() })
 			for round := range 3 {
-				assert.Equal(t, spare.source(spare.others(), round).Zone, m.zone)
+				assert.Equal(t, spare.pullSource(spare.others(), round).Zone, m.zone)
 			}
 		}
 	}
 }
 
-// The only member whose disk was lost knows that nothing is left anywhere, and serves on.
-func TestOnlyMemberWithALostDiskServesOn(t *testing.T) {
+// A sole member that lost its disk has caught up, since there is nothing to pull.
+func TestSoleMemberWithLostDiskHasCaughtUp(t *testing.T) {
 	t.Parallel()
 	replica := &Replica{set: ReplicaSet{Epoch: 4, Members: []Member{{Name: "only"}}, Copies: 1, Size: 1}}
 	replica.options.Self = Member{Name: "only"}
-	assert.Assert(t, replica.pulledEnough(time.Time{}))
+	assert.Assert(t, replica.pulledReadQuorum(time.Time{}))
 	replica.options.Self = Member{Name: "newcomer"}
-	assert.Assert(t, !replica.pulledEnough(time.Time{}), "the member may hold something")
+	assert.Assert(t, !replica.pulledReadQuorum(time.Time{}), "the member may hold records")
 }
 
-// A request of an older epoch is refused, and the client goes on with the newer set.
-func TestOlderEpochIsRefused(t *testing.T) {
+// A request of an older epoch is rejected, and the client continues with the newer set.
+func TestOldEpochIsRejected(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	stale := c.newClient()
@@ -336,18 +334,18 @@
 		_, err := m.process.replica.serveFence(context.Background(), transport.Peer{}, fenceRequest{ReplicaSet: fenced})
 		assert.NilError(t, err)
 	}
-	answer, err := c.machines[0].process.replica.servePut(context.Background(), transport.Peer{}, putRequest{Epoch: set.Epoch})
+	response, err := c.machines[0].process.replica.servePut(context.Background(), transport.Peer{}, putRequest{Epoch: set.Epoch})
 	assert.NilError(t, err)
-	assert.Equal(t, answer.Newer.Epoch, fenced.Epoch)
+	assert.Equal(t, response.Newer.Epoch, fenced.Epoch)
 	assert.NilError(t, c.reserve(stale, "one", 10, 1))
 	assert.Equal(t, stale.ReplicaSet().Epoch, fenced.Epoch)
 	c.kill(c.machines[0])
 	c.start(c.machines[0])
-	assert.Equal(t, c.machines[0].process.replica.ReplicaSet().Epoch, fenced.Epoch, "a restart must not forget the epoch")
+	assert.Equal(t, c.machines[0].process.replica.ReplicaSet().Epoch, fenced.Epoch, "the epoch was lost in the restart")
 }
 
-// A change whose replica is gone for good is taken back by the others.
-func TestUnfinishedChangeIsTakenBack(t *testing.T) {
+// A change whose initiator is lost is aborted by the others.
+func TestUnfinishedChangeIsAborted(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	set := c.store.set()
@@ -357,7 +355,7 @@
 	joint.ChangedBy = "ghost"
 	assert.NilError(t, c.machines[0].process.replica.replaceSet(context.Background(), set, joint))
 	c.put("during", "")
-	eventually(t, "the change is taken back", func() bool {
+	eventually(t, "the change is aborted", func() bool {
 		now := c.store.set()
 		return !now.Changing() && now.Epoch > joint.Epoch && !now.Has("ghost")
 	})
@@ -375,8 +373,8 @@
 	assert.NilError(t, c.reserve(c.client, "one", 10, 5))
 }
 
-// Any write set and any read set that count meet in a replica, in each step of a change.
-func TestWritesAndReadsMeet(t *testing.T) {
+// Any write quorum and any read quorum intersect, also during a change.
+func TestQuorumsIntersect(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		members := func(label string, from, to int) []Member {
@@ -398,7 +396,7 @@
 			return picked
 		}
 		written, read := pick("written"), pick("read")
-		if !set.Written(written) || !set.Read(read) {
+		if !set.HasWriteQuorum(written) || !set.HasReadQuorum(read) {
 			return
 		}
 		for name := range written {
@@ -406,25 +404,25 @@
 				return
 			}
 		}
-		t.Fatalf("%v and %v count in %+v and don't meet", written, read, set)
+		t.Fatalf("write quorum %v and read quorum %v of %+v do not intersect", written, read, set)
 	})
 }
 
-func TestCacheForgetsOldAndMany(t *testing.T) {
+func TestCacheEviction(t *testing.T) {
 	t.Parallel()
-	kept := newCache(10)
-	kept.add(conversation.Turn{ID: "a", Text: make([]byte, 6), RetentionMillis: 60_000})
-	kept.add(conversation.Turn{ID: "b", Previous: "a", Text: make([]byte, 4), RetentionMillis: 60_000})
-	turns, found := kept.chain("b")
+	cached := newCache(10)
+	cached.add(conversation.Turn{ID: "a", Text: make([]byte, 6), RetentionMillis: 60_000})
+	cached.add(conversation.Turn{ID: "b", Previous: "a", Text: make([]byte, 4), RetentionMillis: 60_000})
+	turns, found := cached.chain("b")
 	assert.Assert(t, found)
 	assert.Equal(t, len(turns), 2)
-	kept.add(conversation.Turn{ID: "c", Text: make([]byte, 4), RetentionMillis: 60_000})
-	_, found = kept.chain("b")
-	assert.Assert(t, !found, "a part of the chain had to give way")
-	old := newCache(10)
-	old.add(conversation.Turn{ID: "a", RetentionMillis: 0})
-	eventually(t, "the turn is too old", func() bool {
-		_, found := old.chain("a")
+	cached.add(conversation.Turn{ID: "c", Text: make([]byte, 4), RetentionMillis: 60_000})
+	_, found = cached.chain("b")
+	assert.Assert(t, !found, "part of the chain must have been evicted")
+	expired := newCache(10)
+	expired.add(conversation.Turn{ID: "a", RetentionMillis: 0})
+	eventually(t, "the turn has expired", func() bool {
+		_, found := expired.chain("a")
 		return !found
 	})
 }
