--- a/internal/admin/cluster.go
+++ b/internal/admin/cluster.go
@@ -127,7 +127,7 @@
 }
 
 func (s *Server) getPartitions(context.Context, identity, *http.Request) (any, error) {
-	return PartitionList{Partitions: s.options.Partitions.All()}, nil
+	return PartitionList{Partitions: s.options.Partitions.Placements()}, nil
 }
 
 func (s *Server) drainNode(ctx context.Context, who identity, r *http.Request) (any, error) {
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -255,7 +255,7 @@
 		return true
 	}
 	view := m.options.Membership.View()
-	inZone := slices.DeleteFunc(view.Working(), func(member membership.Member) bool {
+	inZone := slices.DeleteFunc(view.Eligible(), func(member membership.Member) bool {
 		return member.Zone != view.Self.Zone || member.Region != view.Self.Region
 	})
 	ranked := membership.Rank(inZone, "config-reader")
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -95,8 +95,8 @@
 // Transferring reports whether leadership is moving away.
 func (c *Core) Transferring() bool { return c.transferTarget != "" }
 
-// SnapshotAt describes the applied state, for the host to fill with data.
-func (c *Core) SnapshotAt() Snapshot {
+// SnapshotMetadata describes the applied state, for the host to fill with data.
+func (c *Core) SnapshotMetadata() Snapshot {
 	term, _ := c.log.term(c.log.applied)
 	return Snapshot{Index: c.log.applied, Term: term, Members: c.log.members(c.log.applied).Clone()}
 }
@@ -152,9 +152,9 @@
 	return len(c.members.Voters)-len(c.silent) >= c.members.quorum()
 }
 
-// Silent returns the voters that this leader did not hear between its last two checks, which are
+// UnresponsiveVoters returns the voters that this leader did not hear between its last two checks, which are
 // ElectionTicks apart. A new leader has heard none yet.
-func (c *Core) Silent() []string { return c.silent }
+func (c *Core) UnresponsiveVoters() []string { return c.silent }
 
 // Propose appends a command; it is committed when it comes out of Ready with the same term.
 // Errors: *ErrNotLeader, *ErrTransferring.
@@ -311,5 +311,5 @@
 	c.silent = slices.DeleteFunc(slices.Clone(c.members.Voters), func(id string) bool { return id == c.config.ID })
 	c.resetTimers()
 	c.refreshMembers()
-	c.appendEntry(Entry{Kind: EntryEmpty})
+	c.appendEntry(Entry{Kind: EntryNoOp})
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -22,9 +22,9 @@
 // the vote.
 const successionTicks = 3
 
-// LeaderGone makes the followers campaign early, one after the other, because their leader's
+// LeaderDown makes the followers campaign early, one after the other, because their leader's
 // machine is known to be gone. The order changes with the term.
-func (c *Core) LeaderGone(leader string) {
+func (c *Core) LeaderDown(leader string) {
 	if c.role != Follower || c.leader != leader {
 		return
 	}
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -17,8 +17,8 @@
 	EntryCommand EntryKind = iota
 	// EntryMembers replaces the group's members.
 	EntryMembers
-	// EntryEmpty is what a new leader appends to commit the entries of earlier terms.
-	EntryEmpty
+	// EntryNoOp is what a new leader appends to commit the entries of earlier terms.
+	EntryNoOp
 )
 
 // Entry is one slot of the log.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -96,13 +96,13 @@
 		return nil, err
 	}
 	plane.Host = replica.NewHost(replica.Options{
-		ReplicaID:  options.Self.ReplicaID,
-		Transport:  plane.Transport,
-		Storage:    options.Storage,
-		Address:    plane.replicaAddress,
-		NewMachine: options.NewMachine,
-		Changed:    func(status replica.Status) { plane.Partitions.Changed(status) },
-		Logger:     options.Logger,
+		ReplicaID:      options.Self.ReplicaID,
+		Transport:      plane.Transport,
+		Storage:        options.Storage,
+		Address:        plane.replicaAddress,
+		NewMachine:     options.NewMachine,
+		OnStatusChange: func(status replica.Status) { plane.Partitions.OnStatusChange(status) },
+		Logger:         options.Logger,
 	})
 	plane.Partitions = partition.NewManager(partition.Options{
 		Store:        options.Store,
@@ -127,14 +127,14 @@
 }
 
 func (p *Plane) replicaAddress(replicaID string) (string, bool) {
-	member, known := p.Membership.View().Replica(replicaID)
+	member, known := p.Membership.View().ByReplicaID(replicaID)
 	return member.Address, known && member.Usable()
 }
 
 // peerGone starts elections where a dead or departed member led.
 func (p *Plane) peerGone(change membership.Change) {
 	if change.Member != nil && !change.Member.Usable() {
-		p.Host.PeerGone(change.Member.ReplicaID)
+		p.Host.PeerDown(change.Member.ReplicaID)
 	}
 }
 
@@ -143,8 +143,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
 	p.Transport.OnDisconnect(func(peer transport.Peer) {
-		if member, known := p.Membership.View().At(peer.Address); known {
-			p.Host.PeerGone(member.ReplicaID)
+		if member, known := p.Membership.View().ByAddress(peer.Address); known {
+			p.Host.PeerDown(member.ReplicaID)
 		}
 	})
 	var tasks sync.WaitGroup
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -67,7 +67,7 @@
 		plane.Owner = owner.New(node.network, node.members, config, events.Discard())
 	}, second.address)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(first.members.View().Working()) == 2 {
+		if len(first.members.View().Eligible()) == 2 {
 			return poll.Success()
 		}
 		return poll.Continue("waiting for both members")
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -139,7 +139,7 @@
 }
 
 func (c *Client) address(replicaID string) (string, bool) {
-	member, known := c.membership.View().Replica(replicaID)
+	member, known := c.membership.View().ByReplicaID(replicaID)
 	return member.Address, known && member.Usable()
 }
 
@@ -149,7 +149,7 @@
 	if leader := c.leader(id); leader != "" {
 		result = append(result, leader)
 	}
-	for _, placement := range c.partitions.All() {
+	for _, placement := range c.partitions.Placements() {
 		if placement.ID == id {
 			result = append(result, placement.Members...)
 		}
@@ -220,7 +220,7 @@
 	var last error = apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "there is no other node to go through")
 	view := c.membership.View()
 	tried := 0
-	for _, relay := range membership.Rank(view.Working(), view.Self.ID+address) {
+	for _, relay := range membership.Rank(view.Eligible(), view.Self.ID+address) {
 		if relay.ID == view.Self.ID || relay.Address == address || c.onDetour(relay.ReplicaID) {
 			continue
 		}
--- a/internal/lab/statebench/statebench.go
+++ b/internal/lab/statebench/statebench.go
@@ -132,7 +132,7 @@
 	for number, id := range voters.Voters {
 		network := transport.New(transport.Options{Cluster: "bench", NodeID: id, Address: addresses[id], Logger: events.Discard(), Dial: delayedDial(distance)})
 		host := replica.NewHost(replica.Options{
-			ReplicaID: id, Transport: network, Storage: replica.Memory{}, Logger: events.Discard(),
+			ReplicaID: id, Transport: network, Storage: replica.MemoryStorage{}, Logger: events.Discard(),
 			Address:    func(replicaID string) (string, bool) { return addresses[replicaID], true },
 			NewMachine: func(uint32) replica.StateMachine { return program.NewMachine() },
 		})
--- a/internal/lab/torture/torture.go
+++ b/internal/lab/torture/torture.go
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	for _, placement := range r.system.Nodes[0].Plane().Partitions.All() {
+	for _, placement := range r.system.Nodes[0].Plane().Partitions.Placements() {
 		voters := led[placement.ID]
 		dead := slices.ContainsFunc(voters, func(id string) bool { return !alive[id] })
 		if dead || len(voters) != min(3, len(r.system.Nodes)) {
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -19,14 +19,14 @@
 	IndirectProbes int
 	// SuspicionTimeout is how long one accuser's suspect may refute.
 	SuspicionTimeout time.Duration
-	// ConfirmedTimeout is how long a suspect may refute that two members accuse.
-	ConfirmedTimeout time.Duration
+	// ConfirmedSuspicionTimeout is how long a suspect may refute that two members accuse.
+	ConfirmedSuspicionTimeout time.Duration
 	// SyncInterval is how often the whole table is compared with a peer's.
 	SyncInterval time.Duration
-	// ForgetAfter is how long the dead are remembered, so that they can come back.
-	ForgetAfter time.Duration
-	// WatchAll makes each node probe all others: the baseline of the capacity measurement.
-	WatchAll bool
+	// DeadRetention is how long the dead are remembered, so that they can come back.
+	DeadRetention time.Duration
+	// ProbeAll makes each node probe all others: the baseline of the capacity measurement.
+	ProbeAll bool
 	// PauseThreshold is the gap between ticks that counts as a pause of this process.
 	PauseThreshold time.Duration
 }
@@ -34,15 +34,15 @@
 // DefaultOptions detect a dead node within 7 seconds.
 func DefaultOptions() Options {
 	return Options{
-		ProbeInterval:    time.Second,
-		ProbeTimeout:     time.Second,
-		IndirectTimeout:  time.Second,
-		IndirectProbes:   2,
-		SuspicionTimeout: 4 * time.Second,
-		ConfirmedTimeout: 2 * time.Second,
-		SyncInterval:     10 * time.Second,
-		ForgetAfter:      24 * time.Hour,
-		PauseThreshold:   1500 * time.Millisecond,
+		ProbeInterval:             time.Second,
+		ProbeTimeout:              time.Second,
+		IndirectTimeout:           time.Second,
+		IndirectProbes:            2,
+		SuspicionTimeout:          4 * time.Second,
+		ConfirmedSuspicionTimeout: 2 * time.Second,
+		SyncInterval:              10 * time.Second,
+		DeadRetention:             24 * time.Hour,
+		PauseThreshold:            1500 * time.Millisecond,
 	}
 }
 
@@ -54,8 +54,8 @@
 	Ping        PacketType = "ping"
 	Ack         PacketType = "ack"
 	PingRequest PacketType = "preq"
-	PingRelayed PacketType = "pack"
-	Rumour      PacketType = "rumor"
+	RelayedAck  PacketType = "pack"
+	Gossip      PacketType = "rumor"
 	Sync        PacketType = "sync"
 	SyncEntries PacketType = "entries"
 )
@@ -270,7 +270,7 @@
 		return
 	}
 	c.stale = false
-	if c.options.WatchAll {
+	if c.options.ProbeAll {
 		c.targets = everyone(c.self, c.members)
 	} else {
 		c.targets = successors(c.self, c.members)
@@ -336,7 +336,7 @@
 	}
 	accusation := known.member
 	accusation.Status = Suspect
-	accusation.Accuser = c.self.ID
+	accusation.SuspectedBy = c.self.ID
 	c.mergeMember(now, accusation, "")
 }
 
@@ -355,7 +355,7 @@
 func (c *Core) suspicionDeadline(now time.Time, known *entry) time.Time {
 	timeout := c.options.SuspicionTimeout
 	if len(known.accusers) >= 2 {
-		timeout = c.options.ConfirmedTimeout
+		timeout = c.options.ConfirmedSuspicionTimeout
 	}
 	if c.isolated(now) {
 		timeout *= 3
@@ -396,7 +396,7 @@
 
 func (c *Core) forgetOld(now time.Time) {
 	for id, known := range c.members {
-		if !known.member.Usable() && now.Sub(known.changedAt) > c.options.ForgetAfter && id != c.self.ID {
+		if !known.member.Usable() && now.Sub(known.changedAt) > c.options.DeadRetention && id != c.self.ID {
 			c.hashes[bucketOf(id)] ^= hashMember(known.member)
 			delete(c.members, id)
 			delete(c.introduced, id)
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -258,7 +258,7 @@
 	zone, region := net.zoneOf("node9")
 	fresh := net.add("node9", zone, region, 1).Self()
 	net.run(3 * time.Second)
-	net.cores["node12"].Receive(net.now, Packet{Type: Rumour, From: old.ID, Members: []Member{old}})
+	net.cores["node12"].Receive(net.now, Packet{Type: Gossip, From: old.ID, Members: []Member{old}})
 	for _, address := range net.order {
 		for _, member := range net.cores[address].Members() {
 			switch member.ID {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -45,15 +45,15 @@
 	// Incarnation is raised by the member alone, to refute a suspicion or to announce a change.
 	Incarnation uint64 `json:"i"`
 	Status      Status `json:"s"`
-	// Accuser is who suspects the member; two of them count for more than one.
-	Accuser string `json:"by,omitempty"`
+	// SuspectedBy is who suspects the member; two of them count for more than one.
+	SuspectedBy string `json:"by,omitempty"`
 }
 
 // Usable reports whether the member takes part: it is not dead and has not left.
 func (m Member) Usable() bool { return m.Status != Dead && m.Status != Left }
 
-// Working reports whether the member may be given new roles.
-func (m Member) Working() bool { return m.Status == Alive || m.Status == Suspect }
+// Eligible reports whether the member may be given new roles.
+func (m Member) Eligible() bool { return m.Status == Alive || m.Status == Suspect }
 
 // overrides reports whether m is newer knowledge than other, of the same ID.
 func (m Member) overrides(other Member) bool {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -66,7 +66,7 @@
 		c.takeAck(packet)
 	case PingRequest:
 		c.relayPing(now, packet)
-	case PingRelayed:
+	case RelayedAck:
 		if pending := c.probes[packet.Target]; pending != nil && pending.sequence == packet.Sequence {
 			delete(c.probes, packet.Target)
 		}
@@ -98,7 +98,7 @@
 func (c *Core) takeAck(packet Packet) {
 	if request, relayed := c.relays[packet.Sequence]; relayed {
 		delete(c.relays, packet.Sequence)
-		c.send(request.requester, Packet{Type: PingRelayed, Target: packet.From, Sequence: request.sequence})
+		c.send(request.requester, Packet{Type: RelayedAck, Target: packet.From, Sequence: request.sequence})
 		return
 	}
 	if pending := c.probes[packet.From]; pending != nil && pending.sequence == packet.Sequence {
@@ -132,7 +132,7 @@
 	}
 	known = c.store(now, incoming)
 	if incoming.Status == Suspect {
-		known.accusers = map[string]bool{incoming.Accuser: true}
+		known.accusers = map[string]bool{incoming.SuspectedBy: true}
 		known.deadline = c.suspicionDeadline(now, known)
 	}
 	stored := known.member
@@ -143,11 +143,11 @@
 // countAccuser notes a further, distinct accusation of the same incarnation, and passes it on once.
 func (c *Core) countAccuser(now time.Time, known *entry, incoming Member, source string) {
 	sameSuspicion := incoming.Status == Suspect && known.member.Status == Suspect && incoming.Incarnation == known.member.Incarnation
-	if !sameSuspicion || known.accusers[incoming.Accuser] || len(known.accusers) >= 2 {
+	if !sameSuspicion || known.accusers[incoming.SuspectedBy] || len(known.accusers) >= 2 {
 		return
 	}
-	known.accusers[incoming.Accuser] = true
-	known.member.Accuser = incoming.Accuser
+	known.accusers[incoming.SuspectedBy] = true
+	known.member.SuspectedBy = incoming.SuspectedBy
 	known.deadline = c.suspicionDeadline(now, known)
 	c.spread(incoming.ID, source)
 }
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -21,7 +21,7 @@
 // flushOutbox sends what is queued, one packet a peer.
 func (c *Core) flushOutbox() {
 	for id, keys := range c.outbox {
-		packet := Packet{Type: Rumour}
+		packet := Packet{Type: Gossip}
 		for key := range keys {
 			c.attach(&packet, key)
 		}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -53,8 +53,8 @@
 	return found, ok
 }
 
-// At returns the usable member that others reach at an address.
-func (v *View) At(address string) (Member, bool) {
+// ByAddress returns the usable member that others reach at an address.
+func (v *View) ByAddress(address string) (Member, bool) {
 	for _, member := range v.members {
 		if member.Address == address && member.Usable() {
 			return member, true
@@ -63,8 +63,8 @@
 	return Member{}, false
 }
 
-// Replica returns the present run of a replica storage.
-func (v *View) Replica(replicaID string) (Member, bool) {
+// ByReplicaID returns the present run of a replica storage.
+func (v *View) ByReplicaID(replicaID string) (Member, bool) {
 	found, ok := v.byReplica[replicaID]
 	return found, ok
 }
@@ -72,8 +72,8 @@
 // Usable returns the members that are neither dead nor gone.
 func (v *View) Usable() []Member { return v.filter(Member.Usable) }
 
-// Working returns the members that may be given new roles.
-func (v *View) Working() []Member { return v.filter(Member.Working) }
+// Eligible returns the members that may be given new roles.
+func (v *View) Eligible() []Member { return v.filter(Member.Eligible) }
 
 func (v *View) filter(keep func(Member) bool) []Member {
 	result := make([]Member, 0, len(v.members))
@@ -97,7 +97,7 @@
 
 // Owners ranks the members that may own key; each stands in for the ones before it.
 func (v *View) Owners(key, zone, region string) []Member {
-	return Rank(nearest(v.Working(), zone, region), key)
+	return Rank(nearest(v.Eligible(), zone, region), key)
 }
 
 func nearest(members []Member, zone, region string) []Member {
--- a/internal/modelload/manager.go
+++ b/internal/modelload/manager.go
@@ -130,7 +130,7 @@
 		}
 		report := demandReport{PoolDemand: demand, Node: view.Self.ID, Refuted: m.Refuted(demand.Pool), IntervalMillis: interval.Milliseconds()}
 		for _, replicaID := range replicas {
-			member, known := view.Replica(replicaID)
+			member, known := view.ByReplicaID(replicaID)
 			switch {
 			case !known || !member.Usable():
 			case member.ID == view.Self.ID:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -206,7 +206,7 @@
 		Routes:       config.Routes,
 		Listener:     n.listeners.peer,
 		Store:        etcdgateway.New(config.Store.Endpoint, seconds(config.Store.TimeoutSeconds)),
-		Storage:      replica.Memory{},
+		Storage:      replica.MemoryStorage{},
 		DataFolder:   config.DataFolder,
 		Check:        policy.Check,
 		InitialNodes: config.InitialNodes,
@@ -224,7 +224,7 @@
 		if replicaID, err = storedIdentity(config.DataFolder, id); err != nil {
 			return options, err
 		}
-		if options.Storage, err = replica.OpenDisk(config.DataFolder); err != nil {
+		if options.Storage, err = replica.OpenDiskStorage(config.DataFolder); err != nil {
 			return options, err
 		}
 	}
@@ -310,7 +310,7 @@
 		status.Replicas++
 		if group.IsLeader {
 			status.Leads++
-			if !n.plane.Partitions.Whole(group) {
+			if !n.plane.Partitions.FullyReplicated(group) {
 				status.Unrepaired++
 			}
 		}
@@ -399,7 +399,7 @@
 	n.plane.Membership.Announce(membership.Leaving)
 	leadership, cancel := context.WithTimeout(ctx, leadershipTimeout)
 	defer cancel()
-	n.plane.Partitions.MoveLeadership(leadership)
+	n.plane.Partitions.TransferLeadership(leadership)
 	n.gateway.Stop()
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -147,8 +147,8 @@
 	return placement.Members
 }
 
-// All lists every known partition with its present members.
-func (m *Manager) All() []Placement {
+// Placements lists every known partition with its present members.
+func (m *Manager) Placements() []Placement {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var result []Placement
@@ -161,8 +161,8 @@
 	return result
 }
 
-// Changed hears from the host about a group; it is registered as replica.Options.Changed.
-func (m *Manager) Changed(status replica.Status) {
+// OnStatusChange hears from the host about a group; it is registered as replica.Options.OnStatusChange.
+func (m *Manager) OnStatusChange(status replica.Status) {
 	if !status.IsLeader || status.MembersIndex <= 1 {
 		return
 	}
@@ -200,7 +200,7 @@
 	if m.table(region) != nil {
 		return
 	}
-	inRegion := slices.DeleteFunc(view.Working(), func(member membership.Member) bool { return member.Region != region })
+	inRegion := slices.DeleteFunc(view.Eligible(), func(member membership.Member) bool { return member.Region != region })
 	if len(inRegion) < m.options.InitialNodes || !isAmongFirst(inRegion, view.Self.ID) {
 		return
 	}
@@ -234,7 +234,7 @@
 	if entry.Revision > 0 {
 		return decodeTable(entry.Value)
 	}
-	table := Build(region, m.options.Partitions, members)
+	table := NewTable(region, m.options.Partitions, members)
 	encoded, err := json.Marshal(table)
 	if err != nil {
 		return nil, errors.Wrap(err, "encoding the partition table")
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -19,13 +19,13 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for id := range m.gone {
-		if member, known := view.Replica(id); known && member.Usable() {
+		if member, known := view.ByReplicaID(id); known && member.Usable() {
 			delete(m.gone, id)
 		}
 	}
 	for _, status := range m.options.Host.Statuses() {
 		for _, id := range status.Members.All() {
-			member, known := view.Replica(id)
+			member, known := view.ByReplicaID(id)
 			if _, noted := m.gone[id]; !noted && (!known || !member.Usable()) {
 				m.gone[id] = now
 			}
@@ -36,7 +36,7 @@
 // goneLong reports whether a replica must be replaced. One that has left will not come back; one
 // that is dead may be restarted with its disk.
 func (m *Manager) goneLong(view *membership.View, id string) bool {
-	member, known := view.Replica(id)
+	member, known := view.ByReplicaID(id)
 	if known && member.Status == membership.Left && member.ReplicaID == member.ID {
 		return true
 	}
@@ -98,23 +98,23 @@
 	if !changed || record.Members.Contains(self) {
 		return
 	}
-	if err := m.options.Host.Drop(status.Group, record.version); err != nil {
+	if err := m.options.Host.RemoveObsolete(status.Group, record.version); err != nil {
 		m.options.Logger.Emit(events.StorageFailed, events.F("partition", status.Group), events.F("error", err))
 	}
 }
 
-// Whole reports whether a group has all the voters that it should have, on live nodes that answer its
+// FullyReplicated reports whether a group has all the voters that it should have, on live nodes that answer its
 // leader, and no change under way. Only then does it survive the loss of a node.
-func (m *Manager) Whole(status replica.Status) bool {
+func (m *Manager) FullyReplicated(status replica.Status) bool {
 	view := m.options.Membership.View()
 	for _, id := range status.Members.Voters {
-		if member, known := view.Replica(id); !known || !member.Usable() {
+		if member, known := view.ByReplicaID(id); !known || !member.Usable() {
 			return false
 		}
 	}
-	inRegion := slices.DeleteFunc(view.Working(), func(member membership.Member) bool { return member.Region != view.Self.Region })
+	inRegion := slices.DeleteFunc(view.Eligible(), func(member membership.Member) bool { return member.Region != view.Self.Region })
 	wanted := min(ReplicasPerPartition, len(inRegion))
-	return len(status.Silent) == 0 && len(status.Members.Learners) == 0 && len(status.Members.Voters) >= wanted
+	return len(status.UnresponsiveVoters) == 0 && len(status.Members.Learners) == 0 && len(status.Members.Voters) >= wanted
 }
 
 // nextMembers returns the next single step towards a full, healthy group: first a learner, then
@@ -186,12 +186,12 @@
 func (m *Manager) replacement(view *membership.View, members consensus.Members) (string, bool) {
 	zones := make(map[string]bool)
 	for _, id := range members.All() {
-		if member, known := view.Replica(id); known && member.Usable() {
+		if member, known := view.ByReplicaID(id); known && member.Usable() {
 			zones[member.Zone] = true
 		}
 	}
 	load := m.replicaLoad()
-	candidates := slices.DeleteFunc(view.Working(), func(member membership.Member) bool {
+	candidates := slices.DeleteFunc(view.Eligible(), func(member membership.Member) bool {
 		return member.Status != membership.Alive || member.Region != view.Self.Region || members.Contains(member.ReplicaID)
 	})
 	if len(candidates) == 0 {
@@ -212,7 +212,7 @@
 // replicaLoad counts the replicas that each node holds, as far as this node knows.
 func (m *Manager) replicaLoad() map[string]int {
 	load := make(map[string]int)
-	for _, placement := range m.All() {
+	for _, placement := range m.Placements() {
 		for _, id := range placement.Members {
 			load[id]++
 		}
@@ -234,9 +234,9 @@
 	return slices.DeleteFunc(slices.Clone(list), func(item string) bool { return item == id })
 }
 
-// MoveLeadership hands the groups that this node leads to other voters, before a planned stop. It
+// TransferLeadership hands the groups that this node leads to other voters, before a planned stop. It
 // returns when none is led here any more, or the context ends.
-func (m *Manager) MoveLeadership(ctx context.Context) bool {
+func (m *Manager) TransferLeadership(ctx context.Context) bool {
 	ticker := time.NewTicker(checkInterval / 10)
 	defer ticker.Stop()
 	for {
@@ -261,7 +261,7 @@
 
 func (m *Manager) transfer(ctx context.Context, view *membership.View, status replica.Status) {
 	for _, id := range status.Members.Voters {
-		member, known := view.Replica(id)
+		member, known := view.ByReplicaID(id)
 		if id == view.Self.ReplicaID || !known || member.Status != membership.Alive {
 			continue
 		}
--- a/internal/partition/repair_test.go
+++ b/internal/partition/repair_test.go
@@ -57,7 +57,7 @@
 	network := transport.New(transport.Options{Cluster: "c", NodeID: here, Address: created.address, Logger: events.Discard()})
 	created.leader = transport.New(transport.Options{Cluster: "c", NodeID: distant, Address: "127.0.0.1:1", Logger: events.Discard()})
 	created.host = replica.NewHost(replica.Options{
-		ReplicaID: here, Transport: network, Storage: replica.Memory{}, Logger: events.Discard(),
+		ReplicaID: here, Transport: network, Storage: replica.MemoryStorage{}, Logger: events.Discard(),
 		Address:    func(string) (string, bool) { return "", false },
 		NewMachine: func(uint32) replica.StateMachine { return idle{} },
 	})
--- a/internal/partition/table.go
+++ b/internal/partition/table.go
@@ -44,8 +44,8 @@
 	return digest.Sum32() << regionBits
 }
 
-// Build places count partitions on the members of a region.
-func Build(region string, count int, members []membership.Member) Table {
+// NewTable places count partitions on the members of a region.
+func NewTable(region string, count int, members []membership.Member) Table {
 	copysets := buildCopysets(members)
 	table := Table{Generation: 1, Region: region}
 	for number := range count {
--- a/internal/partition/table_test.go
+++ b/internal/partition/table_test.go
@@ -26,7 +26,7 @@
 		for _, member := range members {
 			zones[member.ReplicaID] = member.Zone
 		}
-		for _, placement := range Build("r", 2*count, members).Partitions {
+		for _, placement := range NewTable("r", 2*count, members).Partitions {
 			seen := make(map[string]bool)
 			for _, id := range placement.Members {
 				seen[zones[id]] = true
@@ -43,7 +43,7 @@
 func TestNodesShareGroupsWithFew(t *testing.T) {
 	companions := make(map[string]map[string]bool)
 	load := make(map[string]int)
-	for _, placement := range Build("r", 840, membersOf(210, 3)).Partitions {
+	for _, placement := range NewTable("r", 840, membersOf(210, 3)).Partitions {
 		for _, id := range placement.Members {
 			load[id]++
 			if companions[id] == nil {
@@ -64,14 +64,14 @@
 }
 
 func TestFewNodesStillGetPartitions(t *testing.T) {
-	assert.Equal(t, len(Build("r", 4, membersOf(1, 1)).Partitions[3].Members), 1)
-	assert.Equal(t, len(Build("r", 4, membersOf(2, 1)).Partitions[0].Members), 2)
-	assert.Equal(t, len(Build("r", 4, membersOf(5, 2)).Partitions[0].Members), 3)
+	assert.Equal(t, len(NewTable("r", 4, membersOf(1, 1)).Partitions[3].Members), 1)
+	assert.Equal(t, len(NewTable("r", 4, membersOf(2, 1)).Partitions[0].Members), 2)
+	assert.Equal(t, len(NewTable("r", 4, membersOf(5, 2)).Partitions[0].Members), 3)
 }
 
 // TestKeysSpreadAndStay over partitions.
 func TestKeysSpreadAndStay(t *testing.T) {
-	table := Build("r", 16, membersOf(3, 3))
+	table := NewTable("r", 16, membersOf(3, 3))
 	counts := make(map[uint32]int)
 	for number := range 1600 {
 		placement := table.ForKey("t", fmt.Sprint(number))
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -78,9 +78,9 @@
 	// MembersIndex orders changes of the group.
 	MembersIndex uint64 `json:"members_index"`
 	IsLeader     bool   `json:"is_leader"`
-	// Silent are the voters that a leader has not heard for half a second.
-	Silent []string `json:"silent,omitempty"`
-	Failed string   `json:"failed,omitempty"`
+	// UnresponsiveVoters are the voters that a leader has not heard for half a second.
+	UnresponsiveVoters []string `json:"silent,omitempty"`
+	Failed             string   `json:"failed,omitempty"`
 }
 
 // group runs one replica on one goroutine.
@@ -103,7 +103,7 @@
 	status  atomic.Pointer[Status]
 }
 
-func newGroup(host *Host, id uint32, machine StateMachine, stored Stored) (*group, error) {
+func newGroup(host *Host, id uint32, machine StateMachine, stored StoredGroup) (*group, error) {
 	if len(stored.Snapshot.Data) > 0 {
 		if err := machine.Restore(stored.Snapshot.Data); err != nil {
 			return nil, err
@@ -310,7 +310,7 @@
 func (g *group) send(messages []consensus.Message) {
 	for _, message := range messages {
 		if message.Kind == consensus.InstallSnapshot {
-			snapshot := g.core.SnapshotAt()
+			snapshot := g.core.SnapshotMetadata()
 			data, err := g.machine.Snapshot()
 			if err != nil {
 				g.fail(err)
@@ -327,16 +327,16 @@
 func (g *group) publishStatus() {
 	leads := g.core.Role() == consensus.Leader
 	status := &Status{
-		Group:        g.id,
-		Term:         g.core.Term(),
-		Role:         g.core.Role().String(),
-		Leader:       g.core.LeaderID(),
-		Members:      g.core.Members().Clone(),
-		Committed:    g.core.Committed(),
-		Applied:      g.core.Applied(),
-		MembersIndex: g.membersIndex,
-		IsLeader:     leads,
-		Silent:       g.core.Silent(),
+		Group:              g.id,
+		Term:               g.core.Term(),
+		Role:               g.core.Role().String(),
+		Leader:             g.core.LeaderID(),
+		Members:            g.core.Members().Clone(),
+		Committed:          g.core.Committed(),
+		Applied:            g.core.Applied(),
+		MembersIndex:       g.membersIndex,
+		IsLeader:           leads,
+		UnresponsiveVoters: g.core.UnresponsiveVoters(),
 	}
 	if g.failure != nil {
 		status.Failed = g.failure.Error()
@@ -357,7 +357,7 @@
 // committedStatus gives the members as of MembersIndex: a later change in the log may still be dropped by another leader, and
 // the replica that it removes must not hear of it before.
 func (g *group) committedStatus(status Status) Status {
-	status.Members = g.core.SnapshotAt().Members
+	status.Members = g.core.SnapshotMetadata().Members
 	return status
 }
 
@@ -366,11 +366,11 @@
 	if g.failure != nil || g.core.Applied() < g.core.FirstIndex()+compactAfter {
 		return
 	}
-	if _, volatile := g.host.options.Storage.(Memory); volatile {
+	if _, volatile := g.host.options.Storage.(MemoryStorage); volatile {
 		g.core.Compact(g.core.Applied() - keepEntries)
 		return
 	}
-	snapshot := g.core.SnapshotAt()
+	snapshot := g.core.SnapshotMetadata()
 	data, err := g.machine.Snapshot()
 	if err == nil {
 		snapshot.Data = data
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -30,9 +30,9 @@
 	Address func(replicaID string) (string, bool)
 	// NewMachine makes the state machine of a group.
 	NewMachine func(group uint32) StateMachine
-	// Changed hears of changes of leadership and of members, with the members that are committed. It must not block.
-	Changed func(Status)
-	Logger  *events.Logger
+	// OnStatusChange hears of changes of leadership and of members, with the members that are committed. It must not block.
+	OnStatusChange func(Status)
+	Logger         *events.Logger
 }
 
 // Host runs the replicas of this node.
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// Drop ends a replica and forgets its data, if the group has gone on without it: no leader sends to it, and it has not
+// RemoveObsolete ends a replica and forgets its data, if the group has gone on without it: no leader sends to it, and it has not
 // committed the group's change of that index. The replica itself decides, after all that it has acknowledged: a leader that is
 // adding it counts on that, and would wait without end for one that forgot. The failure is of the storage.
-func (h *Host) Drop(id uint32, changedAt uint64) error {
+func (h *Host) RemoveObsolete(id uint32, changedAt uint64) error {
 	running := h.get(id)
 	if running == nil || !running.retire(changedAt) {
 		return nil
@@ -245,16 +245,16 @@
 	return result
 }
 
-// PeerGone makes the groups that the replica leads elect another leader without waiting.
-func (h *Host) PeerGone(replicaID string) {
+// PeerDown makes the groups that the replica leads elect another leader without waiting.
+func (h *Host) PeerDown(replicaID string) {
 	for _, running := range h.list() {
-		running.offer(event{action: func(core *consensus.Core) { core.LeaderGone(replicaID) }})
+		running.offer(event{action: func(core *consensus.Core) { core.LeaderDown(replicaID) }})
 	}
 }
 
 func (h *Host) changed(status Status) {
-	if h.options.Changed != nil {
-		h.options.Changed(status)
+	if h.options.OnStatusChange != nil {
+		h.options.OnStatusChange(status)
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -109,7 +109,7 @@
 // TestLargeStateReachesANewReplica sends a snapshot of several parts.
 func TestLargeStateReachesANewReplica(t *testing.T) {
 	here := newSite(t)
-	first, _ := here.start("a", Memory{})
+	first, _ := here.start("a", MemoryStorage{})
 	assert.NilError(t, first.Start(1, &consensus.Members{Voters: []string{"a"}}))
 	random := rand.New(rand.NewPCG(1, 1))
 	large := make([]byte, 2*partBytes+12345)
@@ -117,7 +117,7 @@
 		large[index] = byte(random.IntN(256))
 	}
 	here.propose(first, large)
-	second, _ := here.start("b", Memory{})
+	second, _ := here.start("b", MemoryStorage{})
 	var proposed error
 	assert.NilError(t, first.Do(t.Context(), 1, func(core *consensus.Core) {
 		_, _, proposed = core.ProposeMembers(consensus.Members{Voters: []string{"a"}, Learners: []string{"b"}})
@@ -154,18 +154,18 @@
 func TestDiskKeepsWhatWasCommitted(t *testing.T) {
 	here := newSite(t)
 	folder := t.TempDir()
-	disk, err := OpenDisk(folder)
+	disk, err := OpenDiskStorage(folder)
 	assert.NilError(t, err)
 	host, stop := here.start("a", disk)
 	assert.NilError(t, host.Start(1, &consensus.Members{Voters: []string{"a"}}))
 	for range 50 {
 		here.propose(host, []byte("ten bytes."))
 	}
-	_, err = OpenDisk(folder)
+	_, err = OpenDiskStorage(folder)
 	assert.Assert(t, err != nil, "a second process can't share the folder")
 	stop()
 	assert.NilError(t, disk.Close())
-	disk, err = OpenDisk(folder)
+	disk, err = OpenDiskStorage(folder)
 	assert.NilError(t, err)
 	again, _ := here.start("a", disk)
 	here.propose(again, []byte("more"))
@@ -175,7 +175,7 @@
 // TestDamagedDataIsNoticed flips a byte of a stored value.
 func TestDamagedDataIsNoticed(t *testing.T) {
 	folder := t.TempDir()
-	disk, err := OpenDisk(folder)
+	disk, err := OpenDiskStorage(folder)
 	assert.NilError(t, err)
 	assert.NilError(t, disk.Save(1, &consensus.HardState{Term: 3, Vote: "b"}, nil, []consensus.Entry{{Index: 1, Term: 3, Data: []byte("x")}}))
 	assert.NilError(t, disk.Close())
@@ -188,7 +188,7 @@
 		return bucket.Put(stateKey, value)
 	}))
 	assert.NilError(t, database.Close())
-	disk, err = OpenDisk(folder)
+	disk, err = OpenDiskStorage(folder)
 	assert.NilError(t, err)
 	defer func() { _ = disk.Close() }()
 	_, err = disk.Load(1)
@@ -198,7 +198,7 @@
 
 // fullDisk fails every write after a number of them.
 type fullDisk struct {
-	Memory
+	MemoryStorage
 	mutex sync.Mutex
 	left  int
 }
@@ -217,7 +217,7 @@
 func TestFailureIsInTheStatusBeforeProposalsEnd(t *testing.T) {
 	here := newSite(t)
 	host, _ := here.start("a", &fullDisk{left: 6})
-	failing, err := newGroup(host, 7, &journal{}, Stored{})
+	failing, err := newGroup(host, 7, &journal{}, StoredGroup{})
 	assert.NilError(t, err)
 	// Nobody takes the second result before the status was looked at, so that what comes after both has not come.
 	result := make(chan proposalResult)
@@ -281,12 +281,12 @@
 // log alone may never be: another leader may drop the entry.
 func TestAnUncommittedChangeIsNotReported(t *testing.T) {
 	here := newSite(t)
-	host, _ := here.start("a", Memory{})
+	host, _ := here.start("a", MemoryStorage{})
 	var reported []Status
-	host.options.Changed = func(status Status) { reported = append(reported, status) }
+	host.options.OnStatusChange = func(status Status) { reported = append(reported, status) }
 	committed := consensus.Members{Voters: []string{"a", "b", "c", "d"}}
 	pending := consensus.Members{Voters: []string{"a", "b", "c"}}
-	leading, err := newGroup(host, 7, &journal{}, Stored{
+	leading, err := newGroup(host, 7, &journal{}, StoredGroup{
 		State:    consensus.HardState{Term: 1, Commit: 4},
 		Snapshot: consensus.Snapshot{Index: 4, Term: 1, Members: committed},
 		Entries:  []consensus.Entry{{Index: 5, Term: 1, Kind: consensus.EntryMembers, Members: &pending}},
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -13,8 +13,8 @@
 	"github.com/mountstile/mountstile/internal/consensus"
 )
 
-// Stored is what storage holds of one group.
-type Stored struct {
+// StoredGroup is what storage holds of one group.
+type StoredGroup struct {
 	State    consensus.HardState
 	Snapshot consensus.Snapshot
 	Entries  []consensus.Entry
@@ -25,7 +25,7 @@
 type Storage interface {
 	// Groups lists the groups that storage holds.
 	Groups() ([]uint32, error)
-	Load(group uint32) (Stored, error)
+	Load(group uint32) (StoredGroup, error)
 	// Save writes what is set. Entries replace the stored log from their first index on; a
 	// snapshot drops the entries up to its index.
 	Save(group uint32, state *consensus.HardState, snapshot *consensus.Snapshot, entries []consensus.Entry) error
@@ -33,26 +33,26 @@
 	Close() error
 }
 
-// Memory is the storage of nodes without a disk: nothing outlives the process. Such a node gets a
+// MemoryStorage is the storage of nodes without a disk: nothing outlives the process. Such a node gets a
 // new replica identity at each start, so that a forgotten vote can't be cast twice.
-type Memory struct{}
+type MemoryStorage struct{}
 
 // Groups implements Storage.
-func (Memory) Groups() ([]uint32, error) { return nil, nil }
+func (MemoryStorage) Groups() ([]uint32, error) { return nil, nil }
 
 // Load implements Storage.
-func (Memory) Load(uint32) (Stored, error) { return Stored{}, nil }
+func (MemoryStorage) Load(uint32) (StoredGroup, error) { return StoredGroup{}, nil }
 
 // Save implements Storage.
-func (Memory) Save(uint32, *consensus.HardState, *consensus.Snapshot, []consensus.Entry) error {
+func (MemoryStorage) Save(uint32, *consensus.HardState, *consensus.Snapshot, []consensus.Entry) error {
 	return nil
 }
 
 // Remove implements Storage.
-func (Memory) Remove(uint32) error { return nil }
+func (MemoryStorage) Remove(uint32) error { return nil }
 
 // Close implements Storage.
-func (Memory) Close() error { return nil }
+func (MemoryStorage) Close() error { return nil }
 
 // ErrCorrupt means that stored data does not match its checksum.
 type ErrCorrupt struct {
@@ -76,22 +76,22 @@
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Disk is the storage of nodes with a data folder: one bbolt file, a bucket a group. bbolt's
+// DiskStorage is the storage of nodes with a data folder: one bbolt file, a bucket a group. bbolt's
 // copy-on-write pages make a torn write invisible; each value carries its own checksum besides,
 // against silent corruption.
-type Disk struct {
+type DiskStorage struct {
 	database *bbolt.DB
 }
 
-// OpenDisk opens or creates the file in folder. The file is locked, so that two processes can't
+// OpenDiskStorage opens or creates the file in folder. The file is locked, so that two processes can't
 // share a replica identity.
-func OpenDisk(folder string) (*Disk, error) {
+func OpenDiskStorage(folder string) (*DiskStorage, error) {
 	path := filepath.Join(folder, diskFileName)
 	database, err := bbolt.Open(path, diskFileMode, &bbolt.Options{Timeout: diskOpenTimeout, NoFreelistSync: true})
 	if err != nil {
 		return nil, errors.Wrapf(err, "opening %s (is another process using the data folder?)", path)
 	}
-	return &Disk{database: database}, nil
+	return &DiskStorage{database: database}, nil
 }
 
 func groupKey(group uint32) []byte { return binary.BigEndian.AppendUint32(nil, group) }
@@ -121,7 +121,7 @@
 }
 
 // Groups implements Storage.
-func (d *Disk) Groups() ([]uint32, error) {
+func (d *DiskStorage) Groups() ([]uint32, error) {
 	var groups []uint32
 	err := d.database.View(func(transaction *bbolt.Tx) error {
 		return transaction.ForEach(func(name []byte, _ *bbolt.Bucket) error {
@@ -133,8 +133,8 @@
 }
 
 // Load implements Storage.
-func (d *Disk) Load(group uint32) (Stored, error) {
-	var stored Stored
+func (d *DiskStorage) Load(group uint32) (StoredGroup, error) {
+	var stored StoredGroup
 	err := d.database.View(func(transaction *bbolt.Tx) error {
 		bucket := transaction.Bucket(groupKey(group))
 		if bucket == nil {
@@ -161,7 +161,7 @@
 }
 
 // Save implements Storage.
-func (d *Disk) Save(group uint32, state *consensus.HardState, snapshot *consensus.Snapshot, entries []consensus.Entry) error {
+func (d *DiskStorage) Save(group uint32, state *consensus.HardState, snapshot *consensus.Snapshot, entries []consensus.Entry) error {
 	err := d.database.Update(func(transaction *bbolt.Tx) error {
 		bucket, err := transaction.CreateBucketIfNotExists(groupKey(group))
 		if err != nil {
@@ -227,7 +227,7 @@
 }
 
 // Remove implements Storage.
-func (d *Disk) Remove(group uint32) error {
+func (d *DiskStorage) Remove(group uint32) error {
 	err := d.database.Update(func(transaction *bbolt.Tx) error {
 		if transaction.Bucket(groupKey(group)) == nil {
 			return nil
@@ -238,4 +238,4 @@
 }
 
 // Close implements Storage.
-func (d *Disk) Close() error { return errors.Wrap(d.database.Close(), "closing the data file") }
+func (d *DiskStorage) Close() error { return errors.Wrap(d.database.Close(), "closing the data file") }
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -65,7 +65,7 @@
 	if w.random.IntN(2) == 0 {
 		// The others often notice at once, by their broken connections.
 		for _, other := range w.replicas {
-			other.core.LeaderGone(node.id)
+			other.core.LeaderDown(node.id)
 		}
 	}
 }
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -336,7 +336,7 @@
 
 func (w *World) send(node *replicaNode, message consensus.Message) {
 	if message.Kind == consensus.InstallSnapshot {
-		snapshot := node.core.SnapshotAt()
+		snapshot := node.core.SnapshotMetadata()
 		data, err := node.machine.Snapshot()
 		if err != nil {
 			w.fail("making a snapshot: %s", err)
@@ -368,7 +368,7 @@
 	if !w.options.Faults.Compact || node.core.Applied() < node.core.FirstIndex()+compactAfter {
 		return
 	}
-	snapshot := node.core.SnapshotAt()
+	snapshot := node.core.SnapshotMetadata()
 	data, err := node.machine.Snapshot()
 	if err != nil {
 		w.fail("making a snapshot: %s", err)
