--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// Config configures a Core.
+// Config holds the parameters of a Core.
 type Config struct {
-	// ID is this replica.
+	// ID identifies this replica in its group.
 	ID string
-	// ElectionTicks is the shortest time without a leader before a campaign; the actual one is
-	// drawn between it and twice it.
+	// ElectionTicks is the minimum election timeout. The timeout is chosen at random between it and
+	// twice its value.
 	ElectionTicks int
-	// HeartbeatTicks is the time between heartbeats.
+	// HeartbeatTicks is the heartbeat interval.
 	HeartbeatTicks int
 	Random         *rand.Rand
 }
 
 const (
-	// maxAppendBytes bounds the entries of one message; one larger entry still goes alone.
+	// maxAppendBytes limits the entries of one message; a larger entry is sent alone.
 	maxAppendBytes = 1 << 20
-	// maxInflight bounds the unacknowledged messages to one follower.
-	maxInflight = 64
+	// maxInflightAppends limits the unacknowledged Append messages per follower.
+	maxInflightAppends = 64
 )
 
-// Core is one replica's part of the protocol. It is not safe for concurrent use.
+// Core is the Raft state machine of one replica. It is not safe for concurrent use.
 type Core struct {
 	config Config
 
@@ -34,12 +34,12 @@
 	leader string
 	log    *log
 
-	// members is the group as of the last entry of the log, committed or not.
+	// members is the latest configuration in the log, committed or not.
 	members  Members
 	progress map[string]*progress
 	votes    map[string]bool
-	// silent are the voters that a leader did not hear in the latest full check of its quorum.
-	silent []string
+	// unresponsive lists the voters that did not respond to this leader before its latest quorum check.
+	unresponsive []string
 
 	electionElapsed  int
 	heartbeatElapsed int
@@ -47,13 +47,13 @@
 	transferTarget   string
 	transferElapsed  int
 
-	messages   []Message
-	savedState HardState
-	received   *Snapshot
+	messages         []Message
+	savedState       HardState
+	receivedSnapshot *Snapshot
 }
 
-// New returns a Core with what storage holds. A replica that is to be added to an existing group
-// starts with zero values and learns the rest from the leader.
+// New returns a Core with the given persisted state. A replica that is being added to an existing
+// group starts with zero values and receives its state from the leader.
 func New(config Config, state HardState, snapshot Snapshot, entries []Entry) *Core {
 	core := &Core{
 		config:     config,
@@ -68,7 +68,7 @@
 	return core
 }
 
-// ID returns this replica's identity.
+// ID returns the ID of this replica.
 func (c *Core) ID() string { return c.config.ID }
 
 // Term returns the current term.
@@ -77,34 +77,34 @@
 // Role returns the current role.
 func (c *Core) Role() Role { return c.role }
 
-// LeaderID returns the known leader of the current term, or "".
+// LeaderID returns the leader of the current term, or "" if it is unknown.
 func (c *Core) LeaderID() string { return c.leader }
 
-// Members returns the group as of the last entry.
+// Members returns the latest configuration in the log, committed or not.
 func (c *Core) Members() Members { return c.members }
 
 // Committed returns the highest committed index.
 func (c *Core) Committed() uint64 { return c.log.committed }
 
-// Applied returns the highest index handed out in Ready.Committed.
+// Applied returns the highest index returned in Ready.Committed.
 func (c *Core) Applied() uint64 { return c.log.applied }
 
-// FirstIndex returns the lowest index that the log still holds.
+// FirstIndex returns the index after the last compacted entry.
 func (c *Core) FirstIndex() uint64 { return c.log.snapshotIndex + 1 }
 
-// Transferring reports whether leadership is moving away.
+// Transferring reports whether a leadership transfer to another voter is in progress.
 func (c *Core) Transferring() bool { return c.transferTarget != "" }
 
-// SnapshotMetadata describes the applied state, for the host to fill with data.
+// SnapshotMetadata returns a snapshot of the applied state without Data, which the host adds.
 func (c *Core) SnapshotMetadata() Snapshot {
 	term, _ := c.log.term(c.log.applied)
 	return Snapshot{Index: c.log.applied, Term: term, Members: c.log.members(c.log.applied).Clone()}
 }
 
-// Compact drops log entries up to index, which must be applied and covered by a stored snapshot.
+// Compact discards the log entries up to index. They must be applied and covered by a stored snapshot.
 func (c *Core) Compact(index uint64) { c.log.compact(min(index, c.log.applied)) }
 
-// Tick advances the clock by one tick.
+// Tick advances the election and heartbeat timers by one tick.
 func (c *Core) Tick() {
 	if c.role == Leader {
 		c.tickLeader()
@@ -121,7 +121,7 @@
 	c.heartbeatElapsed++
 	if c.electionElapsed >= c.config.ElectionTicks {
 		c.electionElapsed = 0
-		if !c.heardQuorum() {
+		if !c.checkQuorum() {
 			c.becomeFollower(c.term, "")
 			return
 		}
@@ -138,25 +138,25 @@
 	}
 }
 
-// heardQuorum reports whether a majority answered since the last check.
-func (c *Core) heardQuorum() bool {
-	c.silent = nil
+// checkQuorum reports whether a majority responded since the previous check, and starts a new period.
+func (c *Core) checkQuorum() bool {
+	c.unresponsive = nil
 	for _, id := range c.members.Voters {
 		if peer := c.progress[id]; id != c.config.ID && (peer == nil || !peer.active) {
-			c.silent = append(c.silent, id)
+			c.unresponsive = append(c.unresponsive, id)
 		}
 	}
 	for _, peer := range c.progress {
 		peer.active = false
 	}
-	return len(c.members.Voters)-len(c.silent) >= c.members.quorum()
+	return len(c.members.Voters)-len(c.unresponsive) >= c.members.quorum()
 }
 
-// UnresponsiveVoters returns the voters that this leader did not hear between its last two checks, which are
-// ElectionTicks apart. A new leader has heard none yet.
-func (c *Core) UnresponsiveVoters() []string { return c.silent }
+// UnresponsiveVoters returns the voters that did not respond to this leader between its last two
+// quorum checks, which are ElectionTicks apart. A new leader returns all other voters.
+func (c *Core) UnresponsiveVoters() []string { return c.unresponsive }
 
-// Propose appends a command; it is committed when it comes out of Ready with the same term.
+// Propose appends a command. It is committed when Ready returns an entry with this index and term.
 // Errors: *ErrNotLeader, *ErrTransferring.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
 	if c.role != Leader {
@@ -169,30 +169,30 @@
 	return index, c.term, nil
 }
 
-// ProposeMembers appends a change of the group: one voter added, removed or replaced by its
-// promotion, or any change of learners. Errors: *ErrNotLeader, *ErrMembersChange.
+// ProposeMembers appends a membership change. It may add, promote or remove one voter, and change any
+// number of learners. Errors: *ErrNotLeader, *ErrMembersChange.
 func (c *Core) ProposeMembers(members Members) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, &ErrNotLeader{Leader: c.leader}
 	}
 	if c.log.membersPending() {
-		return 0, 0, &ErrMembersChange{Reason: "an earlier change is not committed yet"}
+		return 0, 0, &ErrMembersChange{Reason: "a previous change is not committed yet"}
 	}
 	if committedTerm, _ := c.log.term(c.log.committed); committedTerm != c.term {
-		return 0, 0, &ErrMembersChange{Reason: "the leader has committed nothing in its term yet"}
+		return 0, 0, &ErrMembersChange{Reason: "the leader has not committed an entry of its term yet"}
 	}
 	if voterDifference(c.members, members) > 1 {
-		return 0, 0, &ErrMembersChange{Reason: "more than one voter would change at once"}
+		return 0, 0, &ErrMembersChange{Reason: "more than one voter changes"}
 	}
 	if len(members.Voters) == 0 {
-		return 0, 0, &ErrMembersChange{Reason: "no voter would be left"}
+		return 0, 0, &ErrMembersChange{Reason: "the new configuration has no voters"}
 	}
 	next := members.Clone()
 	index = c.appendEntry(Entry{Kind: EntryMembers, Members: &next})
 	return index, c.term, nil
 }
 
-// voterDifference counts the voters that are in one of the groups only.
+// voterDifference returns the number of voters that are in only one of the two configurations.
 func voterDifference(before, after Members) int {
 	difference := 0
 	for _, id := range before.Voters {
@@ -208,7 +208,9 @@
 	return difference
 }
 
-// TransferLeadership moves leadership to a voter once it has the whole log.
+// TransferLeadership starts a transfer of leadership to a voter. It completes when the log of the
+// voter is up to date, and is abandoned after ElectionTicks.
+// Errors: *ErrNotLeader, *ErrMembersChange.
 func (c *Core) TransferLeadership(target string) error {
 	if c.role != Leader {
 		return &ErrNotLeader{Leader: c.leader}
@@ -217,11 +219,13 @@
 		return &ErrMembersChange{Reason: target + " is not another voter"}
 	}
 	c.transferTarget, c.transferElapsed = target, 0
-	c.finishTransfer(target)
+	c.continueTransfer(target)
 	return nil
 }
 
-func (c *Core) finishTransfer(target string) {
+// continueTransfer makes the target start an election if its log is up to date; otherwise it sends the
+// missing entries.
+func (c *Core) continueTransfer(target string) {
 	peer := c.progress[target]
 	if peer != nil && peer.match == c.log.lastIndex() {
 		c.send(Message{Kind: TimeoutNow, To: target})
@@ -230,7 +234,7 @@
 	c.sendAppend(target)
 }
 
-// appendEntry puts an entry of this term at the end of the log.
+// appendEntry appends an entry of the current term to the log and replicates it.
 func (c *Core) appendEntry(entry Entry) uint64 {
 	entry.Index = c.log.lastIndex() + 1
 	entry.Term = c.term
@@ -246,7 +250,8 @@
 	return entry.Index
 }
 
-// refreshMembers follows the last members entry; it takes effect as soon as it is in the log.
+// refreshMembers adopts the latest configuration in the log. A configuration takes effect when it is
+// appended, not when it is committed.
 func (c *Core) refreshMembers() {
 	c.members = c.log.members(c.log.lastIndex())
 	if c.role != Leader {
@@ -254,7 +259,7 @@
 	}
 	for _, id := range c.members.All() {
 		if c.progress[id] == nil {
-			// Probing sends a message at once: it is what makes a new replica start.
+			// Probing sends a message at once, which makes the host of a new replica start it.
 			c.progress[id] = &progress{next: c.log.lastIndex() + 1, probing: id != c.config.ID, active: true}
 		}
 	}
@@ -265,10 +270,10 @@
 	}
 }
 
-// Ready takes what the host must do. Everything in it counts as done with the next call.
+// Ready returns and clears the pending work. The host must finish it before it calls Ready again.
 func (c *Core) Ready() Ready {
-	ready := Ready{Messages: c.messages, Snapshot: c.received}
-	c.messages, c.received = nil, nil
+	ready := Ready{Messages: c.messages, Snapshot: c.receivedSnapshot}
+	c.messages, c.receivedSnapshot = nil, nil
 	state := HardState{Term: c.term, Vote: c.vote, Commit: c.log.committed}
 	if state != c.savedState {
 		ready.State, ready.StateChanged = state, true
@@ -308,7 +313,7 @@
 	c.role, c.leader = Leader, c.config.ID
 	c.progress = make(map[string]*progress)
 	c.transferTarget = ""
-	c.silent = slices.DeleteFunc(slices.Clone(c.members.Voters), func(id string) bool { return id == c.config.ID })
+	c.unresponsive = slices.DeleteFunc(slices.Clone(c.members.Voters), func(id string) bool { return id == c.config.ID })
 	c.resetTimers()
 	c.refreshMembers()
 	c.appendEntry(Entry{Kind: EntryNoOp})
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Campaign starts an election, with a pre-vote that disturbs nobody.
+// Campaign starts a pre-vote, which does not change the term. If this replica wins it, it starts an
+// election.
 func (c *Core) Campaign() {
 	c.resetTimers()
 	if !c.members.IsVoter(c.config.ID) {
@@ -18,29 +19,29 @@
 	c.requestVotes(PreVote, c.term+1, false)
 }
 
-// successionTicks separates the campaigns of a lost leader's followers, so that they do not split
-// the vote.
-const successionTicks = 3
+// campaignSpacingTicks separates the campaigns of the followers after LeaderDown, to avoid split votes.
+const campaignSpacingTicks = 3
 
-// LeaderDown makes the followers campaign early, one after the other, because their leader's
-// machine is known to be gone. The order changes with the term.
+// LeaderDown reports that a leader has failed or left, so that its followers campaign before their election
+// timeout. They campaign one after another, in an order that depends on the term.
 func (c *Core) LeaderDown(leader string) {
 	if c.role != Follower || c.leader != leader {
 		return
 	}
 	c.leader = ""
-	rank := c.successionRank(leader)
-	c.electionElapsed = max(c.electionElapsed, c.electionTimeout-1-successionTicks*rank)
+	rank := c.campaignRank(leader)
+	c.electionElapsed = max(c.electionElapsed, c.electionTimeout-1-campaignSpacingTicks*rank)
 }
 
-func (c *Core) successionRank(leader string) int {
-	successors := slices.DeleteFunc(slices.Clone(c.members.Voters), func(id string) bool { return id == leader })
-	slices.Sort(successors)
-	position := slices.Index(successors, c.config.ID)
+// campaignRank returns this replica's position in the order of campaigns; a learner is last.
+func (c *Core) campaignRank(leader string) int {
+	candidates := slices.DeleteFunc(slices.Clone(c.members.Voters), func(id string) bool { return id == leader })
+	slices.Sort(candidates)
+	position := slices.Index(candidates, c.config.ID)
 	if position < 0 {
-		return len(successors)
+		return len(candidates)
 	}
-	return (position + int(c.term)) % len(successors)
+	return (position + int(c.term)) % len(candidates)
 }
 
 func (c *Core) startElection(transfer bool) {
@@ -71,31 +72,31 @@
 func (c *Core) countVotes(granted bool) int {
 	count := 0
 	for _, id := range c.members.Voters {
-		if vote, answered := c.votes[id]; answered && vote == granted {
+		if vote, responded := c.votes[id]; responded && vote == granted {
 			count++
 		}
 	}
 	return count
 }
 
-// leaseHeld reports whether this replica has heard of a live leader so recently that it must not
-// help another one.
-func (c *Core) leaseHeld() bool {
+// leaderLeaseActive reports whether this replica received a message from its leader within the minimum
+// election timeout, and so must not vote for another candidate.
+func (c *Core) leaderLeaseActive() bool {
 	return c.leader != "" && c.electionElapsed < c.config.ElectionTicks
 }
 
-// Step handles one message.
+// Step processes one message from another replica.
 func (c *Core) Step(message Message) {
 	if message.To != c.config.ID {
 		return
 	}
 	isRequest := message.Kind == PreVote || message.Kind == Vote
-	if isRequest && message.Term > c.term && !message.Transfer && c.leaseHeld() {
+	if isRequest && message.Term > c.term && !message.Transfer && c.leaderLeaseActive() {
 		return
 	}
 	switch {
 	case message.Term < c.term:
-		c.answerStale(message)
+		c.respondToStale(message)
 		return
 	case message.Term > c.term && message.Kind != PreVote && !(message.Kind == PreVoteResponse && !message.Reject):
 		c.becomeFollower(message.Term, "")
@@ -103,8 +104,8 @@
 	c.handle(message)
 }
 
-// answerStale lets a sender of an earlier term catch up.
-func (c *Core) answerStale(message Message) {
+// respondToStale sends the current term to a leader or candidate of an earlier term.
+func (c *Core) respondToStale(message Message) {
 	switch message.Kind {
 	case Append, Heartbeat, InstallSnapshot:
 		c.send(Message{Kind: AppendResponse, To: message.From, Reject: true, Hint: c.log.lastIndex()})
@@ -122,13 +123,13 @@
 	case VoteResponse:
 		c.handleVoteResponse(message)
 	case Append:
-		c.followLeader(message)
+		c.acceptLeader(message)
 		c.handleAppend(message)
 	case Heartbeat:
-		c.followLeader(message)
+		c.acceptLeader(message)
 		c.handleHeartbeat(message)
 	case InstallSnapshot:
-		c.followLeader(message)
+		c.acceptLeader(message)
 		c.handleSnapshot(message)
 	case AppendResponse:
 		c.handleAppendResponse(message)
@@ -186,8 +187,8 @@
 	}
 }
 
-// followLeader accepts the sender as the leader of the current term.
-func (c *Core) followLeader(message Message) {
+// acceptLeader makes this replica a follower of the sender and restarts the election timer.
+func (c *Core) acceptLeader(message Message) {
 	if c.role != Follower || c.leader != message.From {
 		c.becomeFollower(c.term, message.From)
 	}
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -1,7 +1,8 @@
 package consensus
 
-// log holds the entries after a snapshot.
-// Invariants: applied <= committed <= last; unstable is the first index not handed to storage yet.
+// log holds the entries that follow the latest snapshot.
+// Invariant: applied <= committed <= lastIndex(). unstable is the first index that Ready has not
+// returned for storage.
 type log struct {
 	snapshotIndex   uint64
 	snapshotTerm    uint64
@@ -31,7 +32,8 @@
 	return term
 }
 
-// term returns the term of an entry; false if it is compacted away or not there yet.
+// term returns the term of the entry at index. It returns false if the entry is compacted or beyond
+// the end of the log.
 func (l *log) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.snapshotIndex:
@@ -43,7 +45,7 @@
 	}
 }
 
-// slice returns the entries from first to last, both included.
+// slice returns the entries from first to last, inclusive.
 func (l *log) slice(first, last uint64) []Entry {
 	if first > last {
 		return nil
@@ -55,7 +57,7 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// merge appends a leader's entries, and drops what contradicts them.
+// merge appends entries from the leader, and discards the entries that conflict with them.
 func (l *log) merge(entries []Entry) {
 	for position, incoming := range entries {
 		if incoming.Index <= l.snapshotIndex {
@@ -70,22 +72,22 @@
 	}
 }
 
-// truncate drops the entries from index on. Committed entries are never dropped.
+// truncate discards the entries from index on. Committed entries must never be truncated.
 func (l *log) truncate(index uint64) {
 	if index > l.lastIndex() {
 		return
 	}
-	// The copy keeps slices that were handed out intact.
+	// Copy, because slices returned earlier share the array.
 	l.entries = append([]Entry(nil), l.slice(l.snapshotIndex+1, index-1)...)
 	l.unstable = min(l.unstable, index)
 }
 
-// upToDate reports whether a candidate's log is at least as complete as this one.
+// upToDate reports whether a log that ends with the given entry is at least as up to date as this one.
 func (l *log) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
-// members returns the group as of the last members entry up to index.
+// members returns the latest configuration at or before index.
 func (l *log) members(index uint64) Members {
 	for position := min(index, l.lastIndex()); position > l.snapshotIndex; position-- {
 		if found := l.entries[position-l.snapshotIndex-1].Members; found != nil {
@@ -95,17 +97,17 @@
 	return l.snapshotMembers
 }
 
-// membersPending reports whether a members entry is not committed yet.
+// membersPending reports whether the log contains an uncommitted membership change.
 func (l *log) membersPending() bool {
-	for _, item := range l.slice(max(l.committed, l.snapshotIndex)+1, l.lastIndex()) {
-		if item.Kind == EntryMembers {
+	for _, entry := range l.slice(max(l.committed, l.snapshotIndex)+1, l.lastIndex()) {
+		if entry.Kind == EntryMembers {
 			return true
 		}
 	}
 	return false
 }
 
-// compact drops the entries up to index.
+// compact discards the entries up to index.
 func (l *log) compact(index uint64) {
 	term, ok := l.term(index)
 	if !ok || index <= l.snapshotIndex {
@@ -116,7 +118,7 @@
 	l.snapshotIndex, l.snapshotTerm, l.snapshotMembers = index, term, members
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the log with a snapshot.
 func (l *log) restore(snapshot Snapshot) {
 	*l = *newLog(Snapshot{Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members}, nil)
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -2,26 +2,30 @@
 
 import "slices"
 
-// progress is what the leader knows of one replica.
-// Invariant: match < next; entries up to match are on the replica's storage.
+// progress is the leader's view of the log of one replica.
+// Invariant: match < next. The replica has stored the entries up to match.
 type progress struct {
 	match uint64
 	next  uint64
-	// probing sends one message at a time until the logs are known to agree at some index.
-	probing bool
-	waiting bool
-	// snapshot is the index of a snapshot on its way; 0 if none.
-	snapshot uint64
-	// snapshotBeats counts the heartbeats answered since that snapshot was sent.
-	snapshotBeats int
-	inflight      []uint64
-	// stalledAt is match as of the last heartbeat response that found entries unacknowledged.
-	stalledAt uint64
-	active    bool
+	// probing is set until an index at which the logs match is known. Meanwhile one message is sent
+	// at a time; probeSent is set while its response is outstanding.
+	probing   bool
+	probeSent bool
+	// pendingSnapshot is the index of the snapshot that is being sent, or 0.
+	pendingSnapshot uint64
+	// snapshotHeartbeats counts the heartbeat responses since that snapshot was sent.
+	snapshotHeartbeats int
+	// inflight holds the last index of each unacknowledged message.
+	inflight []uint64
+	// previousMatch is match at the last heartbeat response with entries unacknowledged.
+	previousMatch uint64
+	// active is set by a response and cleared by each quorum check.
+	active bool
 }
 
+// blocked reports whether no Append may be sent now.
 func (p *progress) blocked() bool {
-	return p.snapshot > 0 || p.probing && p.waiting || len(p.inflight) >= maxInflight
+	return p.pendingSnapshot > 0 || p.probing && p.probeSent || len(p.inflight) >= maxInflightAppends
 }
 
 func (p *progress) acknowledge(index uint64) {
@@ -32,9 +36,10 @@
 	}
 }
 
+// probeFrom discards the in-flight messages and probes from next on.
 func (p *progress) probeFrom(next uint64) {
 	p.next = max(next, p.match+1)
-	p.probing, p.waiting = true, false
+	p.probing, p.probeSent = true, false
 	p.inflight = nil
 }
 
@@ -44,7 +49,8 @@
 	}
 }
 
-// sortedPeers keeps the order of messages independent of map order.
+// sortedPeers returns the other replicas in sorted order, so that the order of messages is
+// deterministic.
 func (c *Core) sortedPeers() []string {
 	peers := make([]string, 0, len(c.progress))
 	for id := range c.progress {
@@ -56,7 +62,7 @@
 	return peers
 }
 
-// sendAppend sends what the replica lacks, as far as the pipeline allows.
+// sendAppend sends the next missing entries or a snapshot to a replica, unless it is blocked.
 func (c *Core) sendAppend(id string) {
 	peer := c.progress[id]
 	if peer == nil || peer.blocked() {
@@ -64,7 +70,7 @@
 	}
 	previousTerm, known := c.log.term(peer.next - 1)
 	if !known {
-		peer.snapshot = c.log.applied
+		peer.pendingSnapshot = c.log.applied
 		c.send(Message{Kind: InstallSnapshot, To: id})
 		return
 	}
@@ -74,13 +80,14 @@
 	}
 	c.send(Message{Kind: Append, To: id, Index: peer.next - 1, LogTerm: previousTerm, Entries: entries, Commit: c.log.committed})
 	if peer.probing {
-		peer.waiting = true
+		peer.probeSent = true
 		return
 	}
 	peer.next += uint64(len(entries))
 	peer.inflight = append(peer.inflight, peer.next-1)
 }
 
+// limitEntries returns a copy of the first entries, at most maxAppendBytes but at least one.
 func limitEntries(entries []Entry) []Entry {
 	size := 0
 	for position, entry := range entries {
@@ -92,15 +99,16 @@
 	return slices.Clone(entries)
 }
 
-// broadcastHeartbeat keeps the followers' leases. It carries no more of the commit index than each
-// follower is known to hold.
+// broadcastHeartbeat sends heartbeats to all other replicas. The commit index is limited to match,
+// because later entries in a follower's log may differ from the leader's.
 func (c *Core) broadcastHeartbeat() {
 	for _, id := range c.sortedPeers() {
 		c.send(Message{Kind: Heartbeat, To: id, Commit: min(c.progress[id].match, c.log.committed)})
 	}
 }
 
-// advanceCommit commits what a majority holds, if it is of this term (Raft, section 5.4.2).
+// advanceCommit commits the entries that a majority has stored, if the last of them is of the current
+// term (Raft, section 5.4.2).
 func (c *Core) advanceCommit() bool {
 	matches := make([]uint64, 0, len(c.members.Voters))
 	for _, id := range c.members.Voters {
@@ -122,7 +130,7 @@
 
 func (c *Core) handleAppend(message Message) {
 	if message.Index < c.log.committed {
-		// What is committed agrees with any leader's log.
+		// Committed entries match the log of every leader.
 		c.send(Message{Kind: AppendResponse, To: message.From, Index: c.log.committed})
 		return
 	}
@@ -150,13 +158,14 @@
 		return
 	}
 	if term, ok := c.log.term(snapshot.Index); ok && term == snapshot.Term {
-		// The log goes on beyond the snapshot; its acknowledged entries must not be dropped.
+		// The log contains the last entry of the snapshot. Later entries may have been acknowledged and
+		// must not be discarded.
 		c.log.committed = snapshot.Index
 		c.send(Message{Kind: AppendResponse, To: message.From, Index: snapshot.Index})
 		return
 	}
 	c.log.restore(*snapshot)
-	c.received = snapshot
+	c.receivedSnapshot = snapshot
 	c.refreshMembers()
 	c.send(Message{Kind: AppendResponse, To: message.From, Index: snapshot.Index})
 }
@@ -172,10 +181,10 @@
 		return
 	}
 	peer.acknowledge(message.Index)
-	if peer.snapshot > 0 && message.Index >= peer.snapshot {
-		peer.snapshot = 0
+	if peer.pendingSnapshot > 0 && message.Index >= peer.pendingSnapshot {
+		peer.pendingSnapshot = 0
 	}
-	peer.probing, peer.waiting = false, false
+	peer.probing, peer.probeSent = false, false
 	if c.advanceCommit() {
 		c.stepDownIfRemoved()
 	}
@@ -183,14 +192,14 @@
 		return
 	}
 	if message.From == c.transferTarget {
-		c.finishTransfer(message.From)
+		c.continueTransfer(message.From)
 		return
 	}
 	c.sendAppend(message.From)
 }
 
-// handleRejection goes back to where the logs may agree. A rejection that answers another message
-// than the latest probe is stale; acting on it would let duplicates multiply without end.
+// handleRejection probes again from the index that the follower suggests. A rejection of another message
+// than the latest probe is stale; a new probe for each one would let duplicates multiply without end.
 func (c *Core) handleRejection(peer *progress, message Message) {
 	stale := message.Index <= peer.match || message.Index >= peer.next
 	if peer.probing {
@@ -199,12 +208,12 @@
 	if stale {
 		return
 	}
-	peer.snapshot = 0
+	peer.pendingSnapshot = 0
 	peer.probeFrom(message.Hint + 1)
 	c.sendAppend(message.From)
 }
 
-// stepDownIfRemoved ends the leadership of a leader whose removal is committed.
+// stepDownIfRemoved makes the leader a follower once its own removal is committed.
 func (c *Core) stepDownIfRemoved() {
 	if !c.members.IsVoter(c.config.ID) && !c.log.membersPending() {
 		c.broadcastHeartbeat()
@@ -218,45 +227,49 @@
 		return
 	}
 	peer.active = true
-	peer.waiting = false
+	peer.probeSent = false
 	if peer.match < c.log.lastIndex() {
-		// Something may have been lost on the way: start again from what is acknowledged.
-		if peer.snapshot > 0 && !peer.snapshotLost() {
+		// A message may have been lost; resend from the last acknowledged index.
+		if peer.pendingSnapshot > 0 && !peer.snapshotTimedOut() {
 			return
 		}
-		if len(peer.inflight) >= maxInflight || !peer.probing {
-			c.restartIfStalled(peer)
+		if len(peer.inflight) >= maxInflightAppends || !peer.probing {
+			c.probeIfStalled(peer)
 		}
 		c.sendAppend(message.From)
 	}
 }
 
-// snapshotLost counts heartbeats since a snapshot was sent, and gives it up after a while.
-func (p *progress) snapshotLost() bool {
-	p.snapshotBeats++
-	if p.snapshotBeats < snapshotPatience {
+// snapshotTimedOut counts a heartbeat response, and abandons the pending snapshot after
+// snapshotTimeoutHeartbeats.
+func (p *progress) snapshotTimedOut() bool {
+	p.snapshotHeartbeats++
+	if p.snapshotHeartbeats < snapshotTimeoutHeartbeats {
 		return false
 	}
-	p.snapshot, p.snapshotBeats = 0, 0
+	p.pendingSnapshot, p.snapshotHeartbeats = 0, 0
 	return true
 }
 
-// restartIfStalled resends when two heartbeats were answered without any acknowledgement.
-func (c *Core) restartIfStalled(peer *progress) {
-	if peer.stalledAt == peer.match && peer.stalledAt > 0 || peer.match == 0 {
+// probeIfStalled goes back to probing if match has not advanced between two heartbeat responses.
+func (c *Core) probeIfStalled(peer *progress) {
+	if peer.previousMatch == peer.match && peer.previousMatch > 0 || peer.match == 0 {
 		peer.probeFrom(peer.match + 1)
 	}
-	peer.stalledAt = peer.match
+	peer.previousMatch = peer.match
 }
 
-// CaughtUp reports whether a learner is so near the commit index that it can vote.
+// CaughtUp reports whether the log of a learner is close enough to the commit index for promotion.
 func (c *Core) CaughtUp(id string) bool {
 	peer := c.progress[id]
-	return c.role == Leader && peer != nil && peer.match+promotionLag >= c.log.committed && peer.match > 0
+	return c.role == Leader && peer != nil && peer.match+maxPromotionLag >= c.log.committed && peer.match > 0
 }
 
 const (
-	promotionLag = 64
-	// snapshotPatience is how many heartbeats a snapshot may take before it is sent again.
-	snapshotPatience = 25
+	// maxPromotionLag is the maximum number of committed entries that a learner may lack when it is
+	// promoted.
+	maxPromotionLag = 64
+	// snapshotTimeoutHeartbeats is the number of heartbeat responses after which a pending snapshot is
+	// sent again.
+	snapshotTimeoutHeartbeats = 25
 )
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -14,20 +14,20 @@
 
 func threeVoters() Members { return Members{Voters: []string{"a", "b", "c"}} }
 
-// TestSnapshotKeepsAcknowledgedEntries: a snapshot that was sent before later entries, and came
-// after them, dropped entries that the leader had counted (simulation seed 27).
+// A snapshot that arrives after later entries must not discard them, because the leader has counted
+// their acknowledgements.
 func TestSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	entries := []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2}, {Index: 4, Term: 2}}
 	follower := newTestCore("b", Snapshot{Index: 1, Term: 1, Members: threeVoters()}, entries)
-	late := &Snapshot{Index: 3, Term: 2, Members: threeVoters()}
-	follower.Step(Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 2, Snapshot: late})
+	delayed := &Snapshot{Index: 3, Term: 2, Members: threeVoters()}
+	follower.Step(Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 2, Snapshot: delayed})
 	ready := follower.Ready()
 	assert.Assert(t, ready.Snapshot == nil)
 	assert.Equal(t, follower.log.lastIndex(), uint64(4))
 	assert.Equal(t, follower.Committed(), uint64(3))
 }
 
-func leaderOf(t *testing.T) *Core {
+func newTestLeader(t *testing.T) *Core {
 	t.Helper()
 	leader := newTestCore("a", Snapshot{Index: 1, Term: 1, Members: threeVoters()}, nil)
 	leader.Campaign()
@@ -38,11 +38,11 @@
 	return leader
 }
 
-// TestDuplicateRejectionsDoNotMultiply: each copy of a rejection caused a new probe, and each probe
-// a new rejection, so that duplicated messages grew without end.
+// Duplicates of a rejection must cause one probe only; otherwise probes and rejections multiply without
+// end.
 func TestDuplicateRejectionsDoNotMultiply(t *testing.T) {
-	leader := leaderOf(t)
-	// An acknowledgement ends the probing with which a leader begins.
+	leader := newTestLeader(t)
+	// An acknowledgement ends the initial probing.
 	leader.Step(Message{Kind: AppendResponse, From: "b", To: "a", Term: 3, Index: 2})
 	for range 20 {
 		_, _, err := leader.Propose([]byte("x"))
@@ -58,9 +58,8 @@
 	assert.Equal(t, sent, 1)
 }
 
-// TestCommitNeedsAnEntryOfTheTerm: an entry of an earlier term is not committed by counting
-// replicas (Raft, section 5.4.2).
-func TestCommitNeedsAnEntryOfTheTerm(t *testing.T) {
+// An entry of an earlier term must not be committed by counting its replicas (Raft, section 5.4.2).
+func TestCommitNeedsEntryOfCurrentTerm(t *testing.T) {
 	leader := newTestCore("a", Snapshot{Index: 1, Term: 1, Members: threeVoters()}, []Entry{{Index: 2, Term: 2}})
 	leader.Campaign()
 	leader.Step(Message{Kind: PreVoteResponse, From: "b", To: "a", Term: 3})
@@ -71,22 +70,22 @@
 	assert.Equal(t, leader.Committed(), uint64(3))
 }
 
-// TestMembersChangeOneVoterAtATime refuses what could make two majorities.
+// Changes that could allow two disjoint majorities are rejected.
 func TestMembersChangeOneVoterAtATime(t *testing.T) {
-	leader := leaderOf(t)
+	leader := newTestLeader(t)
 	_, _, err := leader.ProposeMembers(Members{Voters: []string{"a", "b", "c", "d"}})
-	assert.ErrorContains(t, err, "committed nothing in its term")
+	assert.ErrorContains(t, err, "has not committed an entry of its term")
 	leader.Step(Message{Kind: AppendResponse, From: "b", To: "a", Term: 3, Index: 2})
 	_, _, err = leader.ProposeMembers(Members{Voters: []string{"a", "d", "e"}})
-	assert.ErrorContains(t, err, "more than one voter")
+	assert.ErrorContains(t, err, "more than one voter changes")
 	_, _, err = leader.ProposeMembers(Members{Voters: []string{"a", "b", "c", "d"}})
 	assert.NilError(t, err)
 	_, _, err = leader.ProposeMembers(Members{Voters: []string{"a", "b", "c", "d", "e"}})
 	assert.ErrorContains(t, err, "not committed yet")
 }
 
-// TestLeaseRefusesOtherCandidates: a follower that hears its leader does not help another one.
-func TestLeaseRefusesOtherCandidates(t *testing.T) {
+// A follower with an active leader ignores vote requests of other candidates.
+func TestLeaderLeaseBlocksOtherCandidates(t *testing.T) {
 	follower := newTestCore("b", Snapshot{Index: 1, Term: 1, Members: threeVoters()}, nil)
 	follower.Step(Message{Kind: Heartbeat, From: "a", To: "b", Term: 2})
 	follower.Ready()
