--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -1,5 +1,5 @@
-// Package replica hosts this node's replicas of consensus groups: it gives each core a clock,
-// storage, the network and a state machine.
+// Package replica runs this node's replicas of consensus groups. It connects each consensus core to a
+// clock, storage, the transport and a state machine.
 package replica
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/mountstile/mountstile/internal/events"
 )
 
-// StateMachine is what a group replicates. Apply must depend on nothing but its arguments and the
-// state. Calls come one at a time.
+// StateMachine is the replicated state of a group. Apply must be deterministic: its effect may depend
+// only on its arguments and the current state. Calls are not concurrent.
 type StateMachine interface {
-	// Apply executes a command; the result goes to the proposer.
+	// Apply executes a command and returns the result for the proposer.
 	Apply(index uint64, command []byte) any
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
@@ -25,30 +25,33 @@
 const (
 	electionTicks  = 5
 	heartbeatTicks = 2
-	mailboxSize    = 1024
-	// batchEvents bounds how many events share one write to storage.
-	batchEvents = 128
-	// compactAfter is how many applied entries are kept before a snapshot replaces them.
-	compactAfter = 4096
-	// keepEntries stay in the log after a snapshot, for followers that lag a little.
-	keepEntries = 512
+	queueSize      = 1024
+	// maxBatchEvents limits the number of events that share one write to storage.
+	maxBatchEvents = 128
+	// compactionThreshold is the number of applied entries in the log that triggers a compaction.
+	compactionThreshold = 4096
+	// retainedEntries is the number of applied entries that a compaction keeps with MemoryStorage, so
+	// that followers that lag a little need no snapshot.
+	retainedEntries = 512
 )
 
+// event is an item of a group's queue. Exactly one of message, proposal, action, retire and tick is set.
 type event struct {
 	message  *consensus.Message
 	proposal *proposal
 	action   func(*consensus.Core)
-	// refused hears, if there is one, why an action is not run.
-	refused chan error
-	retire  *retirement
-	tick    bool
+	// actionFailed, if not nil, receives the error if the action is not run.
+	actionFailed chan error
+	retire       *retireRequest
+	tick         bool
 }
 
-// retirement asks a replica to end if the group has gone on without it.
-type retirement struct {
+// retireRequest makes a replica stop taking part in its group if it is obsolete.
+type retireRequest struct {
+	// changedAt is the log index of the membership change that removed the replica.
 	changedAt uint64
-	// ended gets whether it has.
-	ended chan bool
+	// obsolete receives whether the replica is obsolete, and therefore retired.
+	obsolete chan bool
 }
 
 type proposal struct {
@@ -61,12 +64,13 @@
 	err   error
 }
 
+// waiter is the proposer of an entry that is not applied yet.
 type waiter struct {
 	term   uint64
 	result chan proposalResult
 }
 
-// Status is a picture of one group for operators and routing.
+// Status is a snapshot of a replica's view of its group, for operators and routing.
 type Status struct {
 	Group     uint32            `json:"group"`
 	Term      uint64            `json:"term"`
@@ -75,30 +79,35 @@
 	Members   consensus.Members `json:"members"`
 	Committed uint64            `json:"committed"`
 	Applied   uint64            `json:"applied"`
-	// MembersIndex orders changes of the group.
+	// MembersIndex is the log index of the latest applied membership change, or of the snapshot that
+	// contains it. It orders the memberships of a group.
 	MembersIndex uint64 `json:"members_index"`
 	IsLeader     bool   `json:"is_leader"`
-	// UnresponsiveVoters are the voters that a leader has not heard for half a second.
+	// UnresponsiveVoters lists the voters that did not respond to the leader between its last two
+	// quorum checks.
 	UnresponsiveVoters []string `json:"silent,omitempty"`
-	Failed             string   `json:"failed,omitempty"`
+	// Failed is the error that stopped the replica, or empty.
+	Failed string `json:"failed,omitempty"`
 }
 
-// group runs one replica on one goroutine.
+// group runs one replica on its own goroutine.
 type group struct {
 	id      uint32
 	host    *Host
 	core    *consensus.Core
 	machine StateMachine
-	mailbox chan event
+	queue   chan event
 	stop    chan struct{}
 	stopped chan struct{}
-	once    sync.Once
+	// closeOnce guards the closing of stop.
+	closeOnce sync.Once
 
 	waiters      map[uint64]waiter
 	membersIndex uint64
 	wasLeader    bool
 	failure      error
-	// retired tells that the replica takes part in nothing any more, because its data is about to be removed.
+	// retired is set when the data of the replica is about to be removed. A retired replica ignores
+	// messages and rejects proposals.
 	retired bool
 	status  atomic.Pointer[Status]
 }
@@ -120,7 +129,7 @@
 		host:         host,
 		core:         consensus.New(config, stored.State, stored.Snapshot, stored.Entries),
 		machine:      machine,
-		mailbox:      make(chan event, mailboxSize),
+		queue:        make(chan event, queueSize),
 		stop:         make(chan struct{}),
 		stopped:      make(chan struct{}),
 		waiters:      make(map[uint64]waiter),
@@ -137,7 +146,7 @@
 		select {
 		case <-g.stop:
 			return
-		case first := <-g.mailbox:
+		case first := <-g.queue:
 			g.handle(first)
 			g.drain()
 			g.process()
@@ -145,11 +154,11 @@
 	}
 }
 
-// drain takes what has queued up meanwhile, so that it shares one write to storage.
+// drain handles the events that are already queued, so that they share one write to storage.
 func (g *group) drain() {
-	for range batchEvents {
+	for range maxBatchEvents {
 		select {
-		case next := <-g.mailbox:
+		case next := <-g.queue:
 			g.handle(next)
 		default:
 			return
@@ -159,8 +168,8 @@
 
 func (g *group) handle(next event) {
 	if next.retire != nil {
-		g.retired = g.retired || g.outlived(next.retire.changedAt)
-		next.retire.ended <- g.retired
+		g.retired = g.retired || g.isObsolete(next.retire.changedAt)
+		next.retire.obsolete <- g.retired
 		return
 	}
 	if g.retired {
@@ -170,7 +179,7 @@
 		return
 	}
 	if g.failure != nil {
-		g.refuse(next)
+		g.rejectFailed(next)
 		return
 	}
 	switch {
@@ -185,21 +194,21 @@
 	}
 }
 
-// refuse answers whoever waits for an event of a replica that has failed.
-func (g *group) refuse(next event) {
+// rejectFailed returns the failure of the replica to the caller that waits for the event.
+func (g *group) rejectFailed(next event) {
 	if next.proposal != nil {
 		next.proposal.result <- proposalResult{err: g.failure}
 	}
-	if next.refused != nil {
-		next.refused <- g.failure
+	if next.actionFailed != nil {
+		next.actionFailed <- g.failure
 	}
 }
 
-// outlived reports whether the group has gone on without this replica since a change that it has not committed. Whoever
-// leads sends to members alone, so a replica that hears a leader is a member or about to be.
-func (g *group) outlived(changedAt uint64) bool {
-	heard := g.failure == nil && g.core.LeaderID() != ""
-	return !heard && g.core.Committed() < changedAt
+// isObsolete reports whether this replica has no leader and has not committed the entry at changedAt.
+// Leaders send to members only, so a replica with a leader is a member or is being added.
+func (g *group) isObsolete(changedAt uint64) bool {
+	hasLeader := g.failure == nil && g.core.LeaderID() != ""
+	return !hasLeader && g.core.Committed() < changedAt
 }
 
 func (g *group) propose(request proposal) {
@@ -212,12 +221,12 @@
 }
 
 func (g *group) notLeader() error {
-	refusal := apierr.New(apierr.NotLeader, apierr.NotRun, "this node does not lead partition %d", g.id)
-	refusal.Leader = g.core.LeaderID()
-	return refusal
+	failure := apierr.New(apierr.NotLeader, apierr.NotRun, "this node does not lead partition %d", g.id)
+	failure.Leader = g.core.LeaderID()
+	return failure
 }
 
-// process does what the core asks for, in the order that Ready prescribes.
+// process executes the pending work of the core in the order that Ready requires.
 func (g *group) process() {
 	for g.failure == nil {
 		ready := g.core.Ready()
@@ -237,7 +246,7 @@
 	g.compact()
 }
 
-// persist writes to storage. A replica that can't write must not answer: it stops taking part.
+// persist writes to storage. A replica that cannot write must not respond to others, so it fails.
 func (g *group) persist(ready consensus.Ready) bool {
 	if !ready.StateChanged && ready.Snapshot == nil && len(ready.Entries) == 0 {
 		return true
@@ -256,8 +265,8 @@
 
 func (g *group) fail(err error) {
 	g.host.options.Logger.Emit(events.StorageFailed, events.F("partition", g.id), events.F("error", err))
-	g.failure = apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "this replica has failed: %s", err)
-	// Whoever hears of the failure finds it in the status, so that comes first.
+	g.failure = apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "replica failed: %s", err)
+	// Publish the status first: a caller that gets the error must find the failure in it.
 	g.publishStatus()
 	g.failWaiters(g.failure)
 }
@@ -279,31 +288,33 @@
 		case consensus.EntryMembers:
 			g.membersIndex = entry.Index
 		}
-		g.answerWaiter(entry, value)
+		g.resolveWaiter(entry, value)
 	}
 }
 
-func (g *group) answerWaiter(entry consensus.Entry, value any) {
-	waiting, exists := g.waiters[entry.Index]
+// resolveWaiter returns the result of an applied entry to its proposer. If the entry at the index of the
+// proposal is of another term, the proposal was superseded.
+func (g *group) resolveWaiter(entry consensus.Entry, value any) {
+	pending, exists := g.waiters[entry.Index]
 	if !exists {
 		return
 	}
 	delete(g.waiters, entry.Index)
-	if waiting.term != entry.Term {
-		waiting.result <- proposalResult{err: errSuperseded()}
+	if pending.term != entry.Term {
+		pending.result <- proposalResult{err: errSuperseded()}
 		return
 	}
-	waiting.result <- proposalResult{value: value}
+	pending.result <- proposalResult{value: value}
 }
 
 func errSuperseded() error {
-	return apierr.New(apierr.NotLeader, apierr.OutcomeUnknown, "another leader's entry took the place of the proposal")
+	return apierr.New(apierr.NotLeader, apierr.OutcomeUnknown, "leadership changed while the proposal was pending")
 }
 
 func (g *group) failWaiters(err error) {
-	for index, waiting := range g.waiters {
+	for index, pending := range g.waiters {
 		delete(g.waiters, index)
-		waiting.result <- proposalResult{err: err}
+		pending.result <- proposalResult{err: err}
 	}
 }
 
@@ -323,9 +334,10 @@
 	}
 }
 
-// publishStatus also tells about changes of leadership; a former leader's proposals are answered.
+// publishStatus updates the status, reports changes of leadership and members, and fails the pending
+// proposals when leadership is lost.
 func (g *group) publishStatus() {
-	leads := g.core.Role() == consensus.Leader
+	isLeader := g.core.Role() == consensus.Leader
 	status := &Status{
 		Group:              g.id,
 		Term:               g.core.Term(),
@@ -335,39 +347,39 @@
 		Committed:          g.core.Committed(),
 		Applied:            g.core.Applied(),
 		MembersIndex:       g.membersIndex,
-		IsLeader:           leads,
+		IsLeader:           isLeader,
 		UnresponsiveVoters: g.core.UnresponsiveVoters(),
 	}
 	if g.failure != nil {
 		status.Failed = g.failure.Error()
 	}
 	previous := g.status.Swap(status)
-	if g.wasLeader && !leads {
+	if g.wasLeader && !isLeader {
 		g.failWaiters(errSuperseded())
 	}
-	if leads && !g.wasLeader {
+	if isLeader && !g.wasLeader {
 		g.host.options.Logger.Emit(events.GroupLeader, events.F("partition", g.id), events.F("term", status.Term))
 	}
-	g.wasLeader = leads
-	if previous != nil && (previous.IsLeader != leads || previous.MembersIndex != status.MembersIndex) {
+	g.wasLeader = isLeader
+	if previous != nil && (previous.IsLeader != isLeader || previous.MembersIndex != status.MembersIndex) {
 		g.host.changed(g.committedStatus(*status))
 	}
 }
 
-// committedStatus gives the members as of MembersIndex: a later change in the log may still be dropped by another leader, and
-// the replica that it removes must not hear of it before.
+// committedStatus returns status with the committed members. Another leader may still discard an
+// uncommitted change, so the replica that it removes must not be removed yet.
 func (g *group) committedStatus(status Status) Status {
 	status.Members = g.core.SnapshotMetadata().Members
 	return status
 }
 
-// compact replaces old entries by a snapshot.
+// compact discards applied entries of a long log, after saving a snapshot unless storage is volatile.
 func (g *group) compact() {
-	if g.failure != nil || g.core.Applied() < g.core.FirstIndex()+compactAfter {
+	if g.failure != nil || g.core.Applied() < g.core.FirstIndex()+compactionThreshold {
 		return
 	}
 	if _, volatile := g.host.options.Storage.(MemoryStorage); volatile {
-		g.core.Compact(g.core.Applied() - keepEntries)
+		g.core.Compact(g.core.Applied() - retainedEntries)
 		return
 	}
 	snapshot := g.core.SnapshotMetadata()
@@ -383,9 +395,10 @@
 	g.core.Compact(snapshot.Index)
 }
 
-func (g *group) post(ctx context.Context, next event) error {
+// enqueue queues an event, waiting for space if the queue is full.
+func (g *group) enqueue(ctx context.Context, next event) error {
 	select {
-	case g.mailbox <- next:
+	case g.queue <- next:
 		return nil
 	case <-g.stop:
 		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped")
@@ -394,29 +407,29 @@
 	}
 }
 
-// retire makes the replica take part in nothing any more if the group has gone on without it, and reports whether it has.
+// retire retires the replica if it is obsolete, and reports whether it is retired.
 func (g *group) retire(changedAt uint64) bool {
-	request := &retirement{changedAt: changedAt, ended: make(chan bool, 1)}
-	if err := g.post(context.Background(), event{retire: request}); err != nil {
+	request := &retireRequest{changedAt: changedAt, obsolete: make(chan bool, 1)}
+	if err := g.enqueue(context.Background(), event{retire: request}); err != nil {
 		return false
 	}
 	select {
-	case ended := <-request.ended:
-		return ended
+	case obsolete := <-request.obsolete:
+		return obsolete
 	case <-g.stopped:
 		return false
 	}
 }
 
-// offer queues an event unless the mailbox is full; messages and ticks may be lost.
-func (g *group) offer(next event) {
+// tryEnqueue queues an event, or drops it if the queue is full. It is for events that may be lost.
+func (g *group) tryEnqueue(next event) {
 	select {
-	case g.mailbox <- next:
+	case g.queue <- next:
 	default:
 	}
 }
 
 func (g *group) close() {
-	g.once.Do(func() { close(g.stop) })
+	g.closeOnce.Do(func() { close(g.stop) })
 	<-g.stopped
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -14,23 +14,24 @@
 )
 
 const (
-	messageKind = "raft"
-	beatKind    = "beat"
-	// tickInterval drives elections and heartbeats of all groups, and paces the batches of beats.
+	messageKind   = "raft"
+	heartbeatKind = "beat"
+	// tickInterval is the tick of all groups, and the interval at which heartbeats are sent in batches.
 	tickInterval = 100 * time.Millisecond
 )
 
-// Options configure a Host.
+// Options holds the parameters of a Host.
 type Options struct {
-	// ReplicaID is this node's identity in its groups; it must be as durable as Storage.
+	// ReplicaID identifies this node in its groups. It must be as durable as Storage.
 	ReplicaID string
 	Transport *transport.Transport
 	Storage   Storage
-	// Address finds where a replica runs now.
+	// Address returns the current address of a replica, or false if it is unknown.
 	Address func(replicaID string) (string, bool)
-	// NewMachine makes the state machine of a group.
+	// NewMachine returns a new state machine for a group.
 	NewMachine func(group uint32) StateMachine
-	// OnStatusChange hears of changes of leadership and of members, with the members that are committed. It must not block.
+	// OnStatusChange is called when leadership or the committed members change, with the committed
+	// members in the status. It must not block. It may be nil.
 	OnStatusChange func(Status)
 	Logger         *events.Logger
 }
@@ -43,48 +44,49 @@
 	groups map[uint32]*group
 	closed bool
 
-	beatMutex sync.Mutex
-	beats     map[string][]beat
-	assembler *assembler
+	heartbeatMutex sync.Mutex
+	// heartbeats holds the heartbeats to send with the next tick, by receiving replica.
+	heartbeats map[string][]heartbeat
+	assembler  *assembler
 }
 
-// groupMessage is a consensus message and the group that it is for.
+// groupMessage is the wire format of a consensus message.
 type groupMessage struct {
 	Group   uint32            `json:"g"`
 	Message consensus.Message `json:"m"`
 }
 
-// beat is a heartbeat or its answer in short form. The beats of all groups between two nodes
-// share one message a tick.
-type beat struct {
+// heartbeat is the compact wire format of a heartbeat or heartbeat response. Heartbeats of all groups
+// between two nodes are sent in one message per tick.
+type heartbeat struct {
 	Group    uint32 `json:"g"`
 	Term     uint64 `json:"t"`
 	Commit   uint64 `json:"c,omitempty"`
 	Response bool   `json:"r,omitempty"`
 }
 
-type beatMessage struct {
-	From  string `json:"f"`
-	To    string `json:"o"`
-	Beats []beat `json:"b"`
+type heartbeatMessage struct {
+	From       string      `json:"f"`
+	To         string      `json:"o"`
+	Heartbeats []heartbeat `json:"b"`
 }
 
-// NewHost returns a Host with the groups that storage holds, not running yet.
+// NewHost returns a Host and registers its transport handlers. Run starts the stored groups.
 func NewHost(options Options) *Host {
-	host := &Host{options: options, groups: make(map[uint32]*group), beats: make(map[string][]beat), assembler: newAssembler()}
+	host := &Host{options: options, groups: make(map[uint32]*group), heartbeats: make(map[string][]heartbeat), assembler: newAssembler()}
 	transport.HandleOneWay(options.Transport, messageKind, func(_ transport.Peer, message groupMessage) {
 		host.receive(message.Group, message.Message)
 	})
-	transport.HandleOneWay(options.Transport, beatKind, host.receiveBeats)
-	transport.HandleOneWay(options.Transport, partKind, func(_ transport.Peer, piece snapshotPart) {
-		if message, whole := host.assembler.add(piece); whole {
-			host.receive(piece.Group, message)
+	transport.HandleOneWay(options.Transport, heartbeatKind, host.receiveHeartbeats)
+	transport.HandleOneWay(options.Transport, snapshotPartKind, func(_ transport.Peer, part snapshotPart) {
+		if message, complete := host.assembler.add(part); complete {
+			host.receive(part.Group, message)
 		}
 	})
 	return host
 }
 
-// Run restarts stored groups and drives all groups until the context ends.
+// Run starts the stored groups and drives all groups until ctx is done, then stops them.
 func (h *Host) Run(ctx context.Context) error {
 	stored, err := h.options.Storage.Groups()
 	if err != nil {
@@ -104,9 +106,9 @@
 			return nil
 		case <-ticker.C:
 			for _, running := range h.list() {
-				running.offer(event{tick: true})
+				running.tryEnqueue(event{tick: true})
 			}
-			h.flushBeats()
+			h.flushHeartbeats()
 		}
 	}
 }
@@ -132,8 +134,8 @@
 	return h.groups[id]
 }
 
-// Start runs a replica. With bootstrap, a replica that holds nothing yet starts as one of the
-// group's first members; without, it waits for a leader to send it the state.
+// Start starts a replica unless it runs already. If bootstrap is not nil, a replica without stored state
+// starts as one of the initial members of the group; otherwise it waits for a leader to send it the state.
 func (h *Host) Start(id uint32, bootstrap *consensus.Members) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -145,7 +147,7 @@
 		return err
 	}
 	if bootstrap != nil && stored.Snapshot.Index == 0 && len(stored.Entries) == 0 {
-		// All first members start from the same snapshot, so that they agree without a leader.
+		// All initial members start from the same snapshot, so that their logs match without a leader.
 		stored.State = consensus.HardState{Term: 1, Commit: 1}
 		stored.Snapshot = consensus.Snapshot{Index: 1, Term: 1, Members: bootstrap.Clone()}
 		if err := h.options.Storage.Save(id, &stored.State, &stored.Snapshot, nil); err != nil {
@@ -162,9 +164,10 @@
 	return nil
 }
 
-// RemoveObsolete ends a replica and forgets its data, if the group has gone on without it: no leader sends to it, and it has not
-// committed the group's change of that index. The replica itself decides, after all that it has acknowledged: a leader that is
-// adding it counts on that, and would wait without end for one that forgot. The failure is of the storage.
+// RemoveObsolete stops a replica and removes its data if it is obsolete: it has no leader, and
+// it has not committed the membership change at index changedAt. The check runs on the goroutine of the
+// replica, after the messages that it has acknowledged: a leader that is adding the replica relies on
+// them, and would wait forever if their data were removed. An error is an error of the storage.
 func (h *Host) RemoveObsolete(id uint32, changedAt uint64) error {
 	running := h.get(id)
 	if running == nil || !running.retire(changedAt) {
@@ -172,7 +175,8 @@
 	}
 	running.close()
 	err := h.options.Storage.Remove(id)
-	// The group is known until its data is gone, so that a message for it can't start it with what is about to be removed.
+	// Keep the group registered until its data is removed, so that a message cannot start it again from
+	// that data.
 	h.mutex.Lock()
 	delete(h.groups, id)
 	h.mutex.Unlock()
@@ -180,15 +184,15 @@
 	return err
 }
 
-// Propose replicates a command and returns the state machine's result. A failure with outcome
-// NotRun means that the command is in no log; after OutcomeUnknown it may still be applied.
+// Propose replicates a command and returns the result of the state machine. After an error with outcome
+// NotRun the command is not in any log; after OutcomeUnknown it may still be applied.
 func (h *Host) Propose(ctx context.Context, id uint32, command []byte) (any, error) {
 	running := h.get(id)
 	if running == nil {
 		return nil, apierr.New(apierr.NotLeader, apierr.NotRun, "this node holds no replica of partition %d", id)
 	}
 	request := &proposal{command: command, result: make(chan proposalResult, 1)}
-	if err := running.post(ctx, event{proposal: request}); err != nil {
+	if err := running.enqueue(ctx, event{proposal: request}); err != nil {
 		return nil, err
 	}
 	select {
@@ -197,11 +201,12 @@
 	case <-running.stopped:
 		return nil, apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "the replica stopped")
 	case <-ctx.Done():
-		return nil, apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "no majority answered: %s", ctx.Err())
+		return nil, apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "no response from a majority: %s", ctx.Err())
 	}
 }
 
-// Do runs an action on a group's core, on its own goroutine. A replica that has failed runs none; the failure says why.
+// Do runs an action on the core of a group, on the goroutine of the group. If the replica has failed, the
+// action is not run and the error is the failure.
 func (h *Host) Do(ctx context.Context, id uint32, action func(*consensus.Core)) error {
 	running := h.get(id)
 	if running == nil {
@@ -212,21 +217,21 @@
 		action(core)
 		close(done)
 	}
-	refused := make(chan error, 1)
-	if err := running.post(ctx, event{action: wrapped, refused: refused}); err != nil {
+	actionFailed := make(chan error, 1)
+	if err := running.enqueue(ctx, event{action: wrapped, actionFailed: actionFailed}); err != nil {
 		return err
 	}
 	select {
 	case <-done:
 		return nil
-	case err := <-refused:
+	case err := <-actionFailed:
 		return err
 	case <-running.stopped:
 		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped")
 	}
 }
 
-// Status returns a picture of one group.
+// Status returns the status of one group, or false if this node has no replica of it.
 func (h *Host) Status(id uint32) (Status, bool) {
 	running := h.get(id)
 	if running == nil {
@@ -235,7 +240,7 @@
 	return *running.status.Load(), true
 }
 
-// Statuses returns a picture of all groups, by number.
+// Statuses returns the status of all groups, ordered by group.
 func (h *Host) Statuses() []Status {
 	var result []Status
 	for _, running := range h.list() {
@@ -245,10 +250,11 @@
 	return result
 }
 
-// PeerDown makes the groups that the replica leads elect another leader without waiting.
+// PeerDown reports that a replica has failed or left, so that the groups that it leads elect a new leader
+// before the election timeout.
 func (h *Host) PeerDown(replicaID string) {
 	for _, running := range h.list() {
-		running.offer(event{action: func(core *consensus.Core) { core.LeaderDown(replicaID) }})
+		running.tryEnqueue(event{action: func(core *consensus.Core) { core.LeaderDown(replicaID) }})
 	}
 }
 
@@ -271,18 +277,19 @@
 		running = h.get(id)
 	}
 	if running != nil {
-		running.offer(event{message: &message})
+		running.tryEnqueue(event{message: &message})
 	}
 }
 
-// startsReplica reports whether a message shows that a leader counts on this node.
+// startsReplica reports whether a message is sent by leaders only, which implies that this node is a
+// member of the group.
 func startsReplica(kind consensus.MessageKind) bool {
 	return kind == consensus.Append || kind == consensus.InstallSnapshot || kind == consensus.Heartbeat
 }
 
 func (h *Host) send(id uint32, message consensus.Message) {
 	if message.Kind == consensus.Heartbeat || message.Kind == consensus.HeartbeatResponse {
-		h.queueBeat(id, message)
+		h.queueHeartbeat(id, message)
 		return
 	}
 	address, known := h.options.Address(message.To)
@@ -290,18 +297,18 @@
 		return
 	}
 	if message.Kind == consensus.InstallSnapshot {
-		for _, piece := range splitSnapshot(id, message) {
-			h.options.Transport.Send(address, partKind, piece)
+		for _, part := range splitSnapshot(id, message) {
+			h.options.Transport.Send(address, snapshotPartKind, part)
 		}
 		return
 	}
 	h.options.Transport.Send(address, messageKind, groupMessage{Group: id, Message: message})
 }
 
-func (h *Host) queueBeat(id uint32, message consensus.Message) {
-	h.beatMutex.Lock()
-	defer h.beatMutex.Unlock()
-	h.beats[message.To] = append(h.beats[message.To], beat{
+func (h *Host) queueHeartbeat(id uint32, message consensus.Message) {
+	h.heartbeatMutex.Lock()
+	defer h.heartbeatMutex.Unlock()
+	h.heartbeats[message.To] = append(h.heartbeats[message.To], heartbeat{
 		Group:    id,
 		Term:     message.Term,
 		Commit:   message.Commit,
@@ -309,20 +316,20 @@
 	})
 }
 
-func (h *Host) flushBeats() {
-	h.beatMutex.Lock()
-	pending := h.beats
-	h.beats = make(map[string][]beat)
-	h.beatMutex.Unlock()
-	for replicaID, beats := range pending {
+func (h *Host) flushHeartbeats() {
+	h.heartbeatMutex.Lock()
+	pending := h.heartbeats
+	h.heartbeats = make(map[string][]heartbeat)
+	h.heartbeatMutex.Unlock()
+	for replicaID, heartbeats := range pending {
 		if address, known := h.options.Address(replicaID); known {
-			h.options.Transport.Send(address, beatKind, beatMessage{From: h.options.ReplicaID, To: replicaID, Beats: beats})
+			h.options.Transport.Send(address, heartbeatKind, heartbeatMessage{From: h.options.ReplicaID, To: replicaID, Heartbeats: heartbeats})
 		}
 	}
 }
 
-func (h *Host) receiveBeats(_ transport.Peer, message beatMessage) {
-	for _, item := range message.Beats {
+func (h *Host) receiveHeartbeats(_ transport.Peer, message heartbeatMessage) {
+	for _, item := range message.Heartbeats {
 		kind := consensus.Heartbeat
 		if item.Response {
 			kind = consensus.HeartbeatResponse
--- a/internal/replica/snapshot_parts.go
+++ b/internal/replica/snapshot_parts.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	partKind = "snap"
-	// partBytes keeps a part's line far below the transport's limit, base64 included.
-	partBytes = 4 << 20
-	// maxParts bounds what a peer can make this node hold: 1 GiB.
-	maxParts = 256
+	snapshotPartKind = "snap"
+	// snapshotPartBytes keeps an encoded part well below the message size limit of the transport.
+	snapshotPartBytes = 4 << 20
+	// maxSnapshotParts limits the memory of one incomplete snapshot to 1 GiB.
+	maxSnapshotParts = 256
 )
 
-// snapshotPart is a piece of a snapshot that is too large for one line.
+// snapshotPart is the wire format of one part of an InstallSnapshot message.
 type snapshotPart struct {
 	Group uint32 `json:"g"`
-	// Message is the consensus message; its snapshot's data is only this part.
+	// Message is the InstallSnapshot message; its snapshot data is only this part.
 	Message consensus.Message `json:"m"`
 	Part    int               `json:"p"`
 	Parts   int               `json:"n"`
 }
 
-// splitSnapshot cuts a message's snapshot into parts; a small one stays whole.
+// splitSnapshot splits an InstallSnapshot message into parts. There is at least one.
 func splitSnapshot(group uint32, message consensus.Message) []snapshotPart {
 	data := message.Snapshot.Data
-	count := max(1, (len(data)+partBytes-1)/partBytes)
+	count := max(1, (len(data)+snapshotPartBytes-1)/snapshotPartBytes)
 	parts := make([]snapshotPart, 0, count)
 	for number := range count {
 		snapshot := *message.Snapshot
-		snapshot.Data = data[number*partBytes : min(len(data), (number+1)*partBytes)]
-		piece := message
-		piece.Snapshot = &snapshot
-		parts = append(parts, snapshotPart{Group: group, Message: piece, Part: number, Parts: count})
+		snapshot.Data = data[number*snapshotPartBytes : min(len(data), (number+1)*snapshotPartBytes)]
+		partial := message
+		partial.Snapshot = &snapshot
+		parts = append(parts, snapshotPart{Group: group, Message: partial, Part: number, Parts: count})
 	}
 	return parts
 }
 
-// partial is a snapshot of which parts are missing.
-type partial struct {
-	index uint64
-	term  uint64
-	parts [][]byte
-	left  int
+// incompleteSnapshot is a snapshot with missing parts.
+type incompleteSnapshot struct {
+	index   uint64
+	term    uint64
+	parts   [][]byte
+	missing int
 }
 
-// assembler puts snapshots together. For each group and sender it holds the latest one only.
+// assembler joins the parts of snapshots. It keeps only the latest snapshot per group and sender.
 type assembler struct {
-	mutex    sync.Mutex
-	partials map[assemblyKey]*partial
+	mutex      sync.Mutex
+	incomplete map[assemblyKey]*incompleteSnapshot
 }
 
 type assemblyKey struct {
@@ -57,37 +57,39 @@
 	from  string
 }
 
-func newAssembler() *assembler { return &assembler{partials: make(map[assemblyKey]*partial)} }
+func newAssembler() *assembler {
+	return &assembler{incomplete: make(map[assemblyKey]*incompleteSnapshot)}
+}
 
-// add takes a part; it returns the whole message with the last one.
-func (a *assembler) add(piece snapshotPart) (consensus.Message, bool) {
-	snapshot := piece.Message.Snapshot
-	if snapshot == nil || piece.Parts < 1 || piece.Parts > maxParts || piece.Part < 0 || piece.Part >= piece.Parts {
+// add adds a part. It returns the complete message once no part is missing.
+func (a *assembler) add(part snapshotPart) (consensus.Message, bool) {
+	snapshot := part.Message.Snapshot
+	if snapshot == nil || part.Parts < 1 || part.Parts > maxSnapshotParts || part.Part < 0 || part.Part >= part.Parts {
 		return consensus.Message{}, false
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	key := assemblyKey{piece.Group, piece.Message.From}
-	held := a.partials[key]
-	if held == nil || held.index != snapshot.Index || held.term != piece.Message.Term || len(held.parts) != piece.Parts {
-		held = &partial{index: snapshot.Index, term: piece.Message.Term, parts: make([][]byte, piece.Parts), left: piece.Parts}
-		a.partials[key] = held
+	key := assemblyKey{part.Group, part.Message.From}
+	pending := a.incomplete[key]
+	if pending == nil || pending.index != snapshot.Index || pending.term != part.Message.Term || len(pending.parts) != part.Parts {
+		pending = &incompleteSnapshot{index: snapshot.Index, term: part.Message.Term, parts: make([][]byte, part.Parts), missing: part.Parts}
+		a.incomplete[key] = pending
 	}
-	if held.parts[piece.Part] == nil {
-		// A part is never nil, also if it is empty.
-		held.parts[piece.Part] = append([]byte{}, snapshot.Data...)
-		held.left--
+	if pending.parts[part.Part] == nil {
+		// A received part is not nil, even if it is empty.
+		pending.parts[part.Part] = append([]byte{}, snapshot.Data...)
+		pending.missing--
 	}
-	if held.left > 0 {
+	if pending.missing > 0 {
 		return consensus.Message{}, false
 	}
-	delete(a.partials, key)
-	whole := piece.Message
+	delete(a.incomplete, key)
+	message := part.Message
 	complete := *snapshot
 	complete.Data = nil
-	for _, part := range held.parts {
-		complete.Data = append(complete.Data, part...)
+	for _, data := range pending.parts {
+		complete.Data = append(complete.Data, data...)
 	}
-	whole.Snapshot = &complete
-	return whole, true
+	message.Snapshot = &complete
+	return message, true
 }
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -13,28 +13,28 @@
 	"github.com/mountstile/mountstile/internal/consensus"
 )
 
-// StoredGroup is what storage holds of one group.
+// StoredGroup is the persisted state of one replica.
 type StoredGroup struct {
 	State    consensus.HardState
 	Snapshot consensus.Snapshot
 	Entries  []consensus.Entry
 }
 
-// Storage keeps the logs of a node's groups. Save returns only when the data is as durable as the
-// storage makes it.
+// Storage persists the replicas of a node.
 type Storage interface {
-	// Groups lists the groups that storage holds.
+	// Groups lists the stored groups.
 	Groups() ([]uint32, error)
 	Load(group uint32) (StoredGroup, error)
-	// Save writes what is set. Entries replace the stored log from their first index on; a
-	// snapshot drops the entries up to its index.
+	// Save writes the arguments that are not nil, and returns when they are as durable as the storage
+	// provides. Entries replace the stored log from the index of the first one; a snapshot removes the
+	// entries up to its index.
 	Save(group uint32, state *consensus.HardState, snapshot *consensus.Snapshot, entries []consensus.Entry) error
 	Remove(group uint32) error
 	Close() error
 }
 
-// MemoryStorage is the storage of nodes without a disk: nothing outlives the process. Such a node gets a
-// new replica identity at each start, so that a forgotten vote can't be cast twice.
+// MemoryStorage is the storage of nodes without a data folder. It stores nothing, so such a node must use
+// a new replica ID at each start; otherwise it could vote twice in a term.
 type MemoryStorage struct{}
 
 // Groups implements Storage.
@@ -54,18 +54,18 @@
 // Close implements Storage.
 func (MemoryStorage) Close() error { return nil }
 
-// ErrCorrupt means that stored data does not match its checksum.
+// ErrCorrupt is returned for stored data that does not match its checksum or cannot be decoded.
 type ErrCorrupt struct {
 	Group uint32
 	What  string
 }
 
 // Error implements error.
-func (e *ErrCorrupt) Error() string { return "stored " + e.What + " does not match its checksum" }
+func (e *ErrCorrupt) Error() string { return "stored " + e.What + " is corrupt" }
 
 const (
 	diskFileName    = "replicas.db"
-	diskOpenTimeout = 2 * time.Second
+	diskLockTimeout = 2 * time.Second
 	diskFileMode    = 0o600
 )
 
@@ -76,18 +76,18 @@
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// DiskStorage is the storage of nodes with a data folder: one bbolt file, a bucket a group. bbolt's
-// copy-on-write pages make a torn write invisible; each value carries its own checksum besides,
-// against silent corruption.
+// DiskStorage is the storage of nodes with a data folder. It is a bbolt file with one bucket per group.
+// bbolt's copy-on-write pages protect against torn writes; a checksum on each value detects silent
+// corruption.
 type DiskStorage struct {
 	database *bbolt.DB
 }
 
-// OpenDiskStorage opens or creates the file in folder. The file is locked, so that two processes can't
-// share a replica identity.
+// OpenDiskStorage opens or creates the file in folder. It locks the file, so that two processes cannot
+// use the same replica ID.
 func OpenDiskStorage(folder string) (*DiskStorage, error) {
 	path := filepath.Join(folder, diskFileName)
-	database, err := bbolt.Open(path, diskFileMode, &bbolt.Options{Timeout: diskOpenTimeout, NoFreelistSync: true})
+	database, err := bbolt.Open(path, diskFileMode, &bbolt.Options{Timeout: diskLockTimeout, NoFreelistSync: true})
 	if err != nil {
 		return nil, errors.Wrapf(err, "opening %s (is another process using the data folder?)", path)
 	}
@@ -98,23 +98,24 @@
 
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// seal prefixes a JSON value with its checksum.
-func seal(value any) ([]byte, error) {
-	encoded, err := json.Marshal(value)
+// encode returns value as JSON, prefixed with its checksum.
+func encode(value any) ([]byte, error) {
+	payload, err := json.Marshal(value)
 	if err != nil {
 		return nil, errors.Wrap(err, "encoding for storage")
 	}
-	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(encoded, castagnoli)), encoded...), nil
+	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(payload, castagnoli)), payload...), nil
 }
 
-func unseal(group uint32, what string, sealed []byte, value any) error {
-	if sealed == nil {
+// decode verifies the checksum of a stored value and decodes it. A missing value is left as it is.
+func decode(group uint32, what string, encoded []byte, value any) error {
+	if encoded == nil {
 		return nil
 	}
-	if len(sealed) < crc32.Size || binary.BigEndian.Uint32(sealed) != crc32.Checksum(sealed[crc32.Size:], castagnoli) {
+	if len(encoded) < crc32.Size || binary.BigEndian.Uint32(encoded) != crc32.Checksum(encoded[crc32.Size:], castagnoli) {
 		return &ErrCorrupt{Group: group, What: what}
 	}
-	if err := json.Unmarshal(sealed[crc32.Size:], value); err != nil {
+	if err := json.Unmarshal(encoded[crc32.Size:], value); err != nil {
 		return &ErrCorrupt{Group: group, What: what}
 	}
 	return nil
@@ -129,7 +130,7 @@
 			return nil
 		})
 	})
-	return groups, errors.Wrap(err, "listing groups")
+	return groups, errors.Wrap(err, "listing stored groups")
 }
 
 // Load implements Storage.
@@ -140,15 +141,15 @@
 		if bucket == nil {
 			return nil
 		}
-		if err := unseal(group, "state", bucket.Get(stateKey), &stored.State); err != nil {
+		if err := decode(group, "state", bucket.Get(stateKey), &stored.State); err != nil {
 			return err
 		}
-		if err := unseal(group, "snapshot", bucket.Get(snapshotKey), &stored.Snapshot); err != nil {
+		if err := decode(group, "snapshot", bucket.Get(snapshotKey), &stored.Snapshot); err != nil {
 			return err
 		}
-		return bucket.Bucket(logBucket).ForEach(func(_, sealed []byte) error {
+		return bucket.Bucket(logBucket).ForEach(func(_, encoded []byte) error {
 			var entry consensus.Entry
-			if err := unseal(group, "entry", sealed, &entry); err != nil {
+			if err := decode(group, "entry", encoded, &entry); err != nil {
 				return err
 			}
 			if entry.Index > stored.Snapshot.Index {
@@ -180,7 +181,7 @@
 			if err := put(bucket, snapshotKey, snapshot); err != nil {
 				return err
 			}
-			if err := removeThrough(entryBucket, snapshot.Index); err != nil {
+			if err := deleteThrough(entryBucket, snapshot.Index); err != nil {
 				return err
 			}
 		}
@@ -190,14 +191,15 @@
 }
 
 func put(bucket *bbolt.Bucket, key []byte, value any) error {
-	sealed, err := seal(value)
+	encoded, err := encode(value)
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, sealed)
+	return bucket.Put(key, encoded)
 }
 
-func removeThrough(bucket *bbolt.Bucket, last uint64) error {
+// deleteThrough deletes the entries up to and including last.
+func deleteThrough(bucket *bbolt.Bucket, last uint64) error {
 	cursor := bucket.Cursor()
 	for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) <= last; key, _ = cursor.Next() {
 		if err := cursor.Delete(); err != nil {
@@ -207,7 +209,7 @@
 	return nil
 }
 
-// replaceFrom drops the log from the first entry's index on, and appends the entries.
+// replaceFrom deletes the stored log from the index of the first entry, and appends entries.
 func replaceFrom(bucket *bbolt.Bucket, entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -238,4 +240,6 @@
 }
 
 // Close implements Storage.
-func (d *DiskStorage) Close() error { return errors.Wrap(d.database.Close(), "closing the data file") }
+func (d *DiskStorage) Close() error {
+	return errors.Wrap(d.database.Close(), "closing the replica storage")
+}
