--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -25,64 +25,70 @@
 	membersPrefix = "partition/"
 
 	checkInterval = time.Second
-	// tableProposers members try to commit the first table; the others wait for gossip.
+	// tableProposers is the number of members that try to commit the first table of a region; the
+	// others receive it by gossip.
 	tableProposers = 2
 	storeTimeout   = 5 * time.Second
 )
 
-// Options configure a Manager.
+// Options holds the parameters of a Manager.
 type Options struct {
 	Store      configstore.Store
 	Membership *membership.Manager
 	Host       *replica.Host
 	Logger     *events.Logger
-	// InitialNodes is how many nodes of a region must be there before its partitions are placed.
+	// InitialNodes is the number of nodes that a region must have before its partitions are placed.
 	InitialNodes int
-	// Partitions is how many a new region gets.
+	// Partitions is the number of partitions of a new region.
 	Partitions int
-	// RepairDelay is how long a replica's node must be gone before the replica is replaced.
+	// RepairDelay is the time for which the node of a replica must be unavailable before the replica is
+	// replaced.
 	RepairDelay time.Duration
 }
 
-// Manager keeps the placement on this node, starts its replicas, and repairs the groups it leads.
+// Manager tracks the placement of partitions, starts the replicas of this node, and repairs the groups
+// that it leads.
 type Manager struct {
 	options Options
 
 	mutex   sync.Mutex
 	tables  map[string]*Table
 	members map[uint32]membersRecord
-	gone    map[string]time.Time
-	lost    map[uint32]bool
+	// unavailableSince is the time at which each replica was first seen without a usable node.
+	unavailableSince map[string]time.Time
+	// quorumLost is the result of the last check of each group.
+	quorumLost map[uint32]bool
 }
 
-// membersRecord is the present group of a partition, spread as a membership record whose version
-// is the log index of the change.
+// membersRecord is the value of the membership record with the current members of a group.
 type membersRecord struct {
+	// version is the version of the record, which is the log index of the membership change.
 	version uint64
 	Members consensus.Members `json:"members"`
 }
 
-// NewManager returns a Manager. Call it before membership runs.
+// NewManager returns a Manager subscribed to membership changes. It must be called before the membership
+// manager runs.
 func NewManager(options Options) *Manager {
 	manager := &Manager{
-		options: options,
-		tables:  make(map[string]*Table),
-		members: make(map[uint32]membersRecord),
-		gone:    make(map[string]time.Time),
-		lost:    make(map[uint32]bool),
+		options:          options,
+		tables:           make(map[string]*Table),
+		members:          make(map[uint32]membersRecord),
+		unavailableSince: make(map[string]time.Time),
+		quorumLost:       make(map[uint32]bool),
 	}
-	options.Membership.Subscribe(manager.heard)
+	options.Membership.Subscribe(manager.onMembershipChange)
 	return manager
 }
 
-func (m *Manager) heard(change membership.Change) {
+func (m *Manager) onMembershipChange(change membership.Change) {
 	if change.Record == nil {
 		return
 	}
 	if region, ok := strings.CutPrefix(change.Record.Key, tablePrefix); ok {
 		var table Table
 		if json.Unmarshal(change.Record.Value, &table) == nil && len(table.Partitions) > 0 {
-			m.adopt(region, &table)
+			m.adoptTable(region, &table)
 		}
 		return
 	}
@@ -97,7 +103,8 @@
 	}
 }
 
-func (m *Manager) adopt(region string, table *Table) {
+// adoptTable stores a table unless one of the same or a later generation is known.
+func (m *Manager) adoptTable(region string, table *Table) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if known := m.tables[region]; known == nil || known.Generation < table.Generation {
@@ -105,7 +112,7 @@
 	}
 }
 
-// Ready reports whether this node's region has its partitions.
+// Ready reports whether the partition table of this node's region is known.
 func (m *Manager) Ready() bool { return m.table(m.options.Membership.View().Self.Region) != nil }
 
 func (m *Manager) table(region string) *Table {
@@ -114,8 +121,8 @@
 	return m.tables[region]
 }
 
-// Locate returns the partition of a program and its present members. An empty region means the
-// cluster's first.
+// Locate returns the partition of a program and its current voters. An empty region selects the first
+// region by name.
 func (m *Manager) Locate(region, tenant, root string) (uint32, []string, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -127,7 +134,7 @@
 		return 0, nil, apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "region %q has no partitions yet", region).WithRetryAfter(time.Second)
 	}
 	placement := table.ForKey(tenant, root)
-	return placement.ID, m.currentMembers(placement), nil
+	return placement.ID, m.currentVoters(placement), nil
 }
 
 func (m *Manager) firstTable() *Table {
@@ -140,28 +147,29 @@
 	return first
 }
 
-func (m *Manager) currentMembers(placement Placement) []string {
+func (m *Manager) currentVoters(placement Placement) []string {
 	if record, changed := m.members[placement.ID]; changed {
 		return record.Members.Voters
 	}
 	return placement.Members
 }
 
-// Placements lists every known partition with its present members.
+// Placements returns all known partitions with their current voters, ordered by ID.
 func (m *Manager) Placements() []Placement {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var result []Placement
 	for _, table := range m.tables {
 		for _, placement := range table.Partitions {
-			result = append(result, Placement{ID: placement.ID, Members: m.currentMembers(placement)})
+			result = append(result, Placement{ID: placement.ID, Members: m.currentVoters(placement)})
 		}
 	}
 	slices.SortFunc(result, func(a, b Placement) int { return int(a.ID) - int(b.ID) })
 	return result
 }
 
-// OnStatusChange hears from the host about a group; it is registered as replica.Options.OnStatusChange.
+// OnStatusChange publishes the members of a group that this node leads. Set it as
+// replica.Options.OnStatusChange.
 func (m *Manager) OnStatusChange(status replica.Status) {
 	if !status.IsLeader || status.MembersIndex <= 1 {
 		return
@@ -172,18 +180,18 @@
 	}
 	m.options.Logger.Emit(events.GroupMembersChanged, events.F("partition", status.Group), events.F("voters", status.Members.Voters))
 	record := membership.Record{Key: membersPrefix + strconv.FormatUint(uint64(status.Group), 10), Version: status.MembersIndex, Value: value}
-	// The group's own goroutine calls this; membership may call back into it.
+	// Do not block the goroutine of the group: SetRecord may call back into it.
 	go m.options.Membership.SetRecord(record)
 }
 
-// Run keeps this node's part of the placement until the context ends.
+// Run creates the table, starts replicas and repairs groups until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		m.ensureTable(ctx)
 		m.startReplicas()
-		m.noteGone()
+		m.updateUnavailable()
 		m.repairGroups(ctx)
 		select {
 		case <-ctx.Done():
@@ -193,7 +201,7 @@
 	}
 }
 
-// ensureTable commits the region's first table once enough nodes are there.
+// ensureTable commits the first table of the region once it has enough nodes.
 func (m *Manager) ensureTable(ctx context.Context) {
 	view := m.options.Membership.View()
 	region := view.Self.Region
@@ -201,7 +209,7 @@
 		return
 	}
 	inRegion := slices.DeleteFunc(view.Eligible(), func(member membership.Member) bool { return member.Region != region })
-	if len(inRegion) < m.options.InitialNodes || !isAmongFirst(inRegion, view.Self.ID) {
+	if len(inRegion) < m.options.InitialNodes || !isTableProposer(inRegion, view.Self.ID) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -214,7 +222,7 @@
 	m.publishTable(table)
 }
 
-func isAmongFirst(members []membership.Member, id string) bool {
+func isTableProposer(members []membership.Member, id string) bool {
 	ranked := membership.Rank(members, "partition-table")
 	for _, member := range ranked[:min(tableProposers, len(ranked))] {
 		if member.ID == id {
@@ -224,7 +232,7 @@
 	return false
 }
 
-// commitTable writes a table unless the store has one; the store's always wins.
+// commitTable writes a table to the store, or returns the one that the store already has.
 func (m *Manager) commitTable(ctx context.Context, region string, members []membership.Member) (*Table, error) {
 	key := storePrefix + region
 	entry, err := m.options.Store.Get(ctx, key)
@@ -267,7 +275,8 @@
 	m.options.Membership.SetRecord(membership.Record{Key: tablePrefix + table.Region, Version: table.Generation, Value: encoded})
 }
 
-// startReplicas starts the replicas that the first table gives to this node.
+// startReplicas starts the replicas that the table places on this node, unless the members of their
+// groups have changed since.
 func (m *Manager) startReplicas() {
 	view := m.options.Membership.View()
 	table := m.table(view.Self.Region)
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -12,30 +12,30 @@
 	"github.com/mountstile/mountstile/internal/replica"
 )
 
-// noteGone remembers since when each replica's node is gone.
-func (m *Manager) noteGone() {
+// updateUnavailable updates the time since when the node of each replica is unavailable.
+func (m *Manager) updateUnavailable() {
 	view := m.options.Membership.View()
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for id := range m.gone {
+	for id := range m.unavailableSince {
 		if member, known := view.ByReplicaID(id); known && member.Usable() {
-			delete(m.gone, id)
+			delete(m.unavailableSince, id)
 		}
 	}
 	for _, status := range m.options.Host.Statuses() {
 		for _, id := range status.Members.All() {
 			member, known := view.ByReplicaID(id)
-			if _, noted := m.gone[id]; !noted && (!known || !member.Usable()) {
-				m.gone[id] = now
+			if _, recorded := m.unavailableSince[id]; !recorded && (!known || !member.Usable()) {
+				m.unavailableSince[id] = now
 			}
 		}
 	}
 }
 
-// goneLong reports whether a replica must be replaced. One that has left will not come back; one
-// that is dead may be restarted with its disk.
-func (m *Manager) goneLong(view *membership.View, id string) bool {
+// needsReplacement reports whether a replica must be replaced. A node without a data folder that has left
+// does not come back with this replica ID; any other node may be restarted with its data.
+func (m *Manager) needsReplacement(view *membership.View, id string) bool {
 	member, known := view.ByReplicaID(id)
 	if known && member.Status == membership.Left && member.ReplicaID == member.ID {
 		return true
@@ -45,16 +45,17 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	since, noted := m.gone[id]
-	return noted && time.Since(since) >= m.options.RepairDelay
+	since, recorded := m.unavailableSince[id]
+	return recorded && time.Since(since) >= m.options.RepairDelay
 }
 
-// repairGroups takes one step for each group that this node leads, and reports lost majorities.
+// repairGroups checks the groups of this node, and proposes the next membership change for each that it
+// leads.
 func (m *Manager) repairGroups(ctx context.Context) {
 	view := m.options.Membership.View()
 	for _, status := range m.options.Host.Statuses() {
-		m.reportQuorum(view, status)
-		m.dropRemoved(status)
+		m.reportLostQuorum(view, status)
+		m.removeObsolete(status)
 		if !status.IsLeader {
 			continue
 		}
@@ -63,34 +64,35 @@
 			continue
 		}
 		_ = m.options.Host.Do(ctx, status.Group, func(core *consensus.Core) {
-			// A refusal means that an earlier step is not committed yet; the next round tries again.
+			// An error means that a previous change is not committed yet. The next round retries.
 			_, _, _ = core.ProposeMembers(next)
 		})
 	}
 }
 
-// reportQuorum logs once when a majority of a group's replicas is gone for good. The group stays
-// unavailable: it never starts anew as if it were empty.
-func (m *Manager) reportQuorum(view *membership.View, status replica.Status) {
-	gone := 0
+// reportLostQuorum logs when a group first has too few voters left for a quorum. The group stays
+// unavailable: it must never restart as an empty group.
+func (m *Manager) reportLostQuorum(view *membership.View, status replica.Status) {
+	failed := 0
 	for _, id := range status.Members.Voters {
-		if m.goneLong(view, id) {
-			gone++
+		if m.needsReplacement(view, id) {
+			failed++
 		}
 	}
-	lost := len(status.Members.Voters) > 0 && len(status.Members.Voters)-gone <= len(status.Members.Voters)/2 && gone > 0
+	quorumLost := len(status.Members.Voters) > 0 && len(status.Members.Voters)-failed <= len(status.Members.Voters)/2 && failed > 0
 	m.mutex.Lock()
-	reported := m.lost[status.Group]
-	m.lost[status.Group] = lost
+	reported := m.quorumLost[status.Group]
+	m.quorumLost[status.Group] = quorumLost
 	m.mutex.Unlock()
-	if lost && !reported {
+	if quorumLost && !reported {
 		m.options.Logger.Emit(events.GroupQuorumLost, events.F("partition", status.Group), events.F("voters", status.Members.Voters))
 	}
 }
 
-// dropRemoved ends a replica that the group has gone on without. The record that lacks this node may also be of before the
-// node is added, and the status of before what the replica holds now; the host looks at the replica itself.
-func (m *Manager) dropRemoved(status replica.Status) {
+// removeObsolete removes the replica of this node if the known members of the group exclude it. The record
+// may predate the addition of this node, and status may be out of date, so the host checks the replica
+// itself.
+func (m *Manager) removeObsolete(status replica.Status) {
 	self := m.options.Membership.View().Self.ReplicaID
 	m.mutex.Lock()
 	record, changed := m.members[status.Group]
@@ -103,8 +105,8 @@
 	}
 }
 
-// FullyReplicated reports whether a group has all the voters that it should have, on live nodes that answer its
-// leader, and no change under way. Only then does it survive the loss of a node.
+// FullyReplicated reports whether a group has the desired number of voters, all on usable nodes and
+// responding to their leader, and no learners. Only then does it survive the loss of a node.
 func (m *Manager) FullyReplicated(status replica.Status) bool {
 	view := m.options.Membership.View()
 	for _, id := range status.Members.Voters {
@@ -117,12 +119,13 @@
 	return len(status.UnresponsiveVoters) == 0 && len(status.Members.Learners) == 0 && len(status.Members.Voters) >= wanted
 }
 
-// nextMembers returns the next single step towards a full, healthy group: first a learner, then
-// its promotion, then the removal of a lost voter.
+// nextMembers returns the next membership change towards a group of ReplicasPerPartition healthy voters,
+// or false if there is none. A failed voter is replaced in three steps: its replacement is added as a
+// learner, then promoted, then the failed voter is removed.
 func (m *Manager) nextMembers(ctx context.Context, view *membership.View, status replica.Status) (consensus.Members, bool) {
 	next := status.Members.Clone()
 	for _, id := range next.Learners {
-		if m.goneLong(view, id) {
+		if m.needsReplacement(view, id) {
 			next.Learners = without(next.Learners, id)
 			return next, true
 		}
@@ -132,15 +135,15 @@
 			return next, true
 		}
 	}
-	lost := m.lostVoter(view, next)
+	failed := m.failedVoter(view, next)
 	healthy := len(next.Voters)
-	if lost != "" {
+	if failed != "" {
 		healthy--
 	}
-	// A lost voter goes only when its replacement votes: a smaller group would not be safer.
+	// Remove a failed voter only after its replacement is a voter: a smaller group is no safer.
 	candidate, found := m.replacement(view, next)
-	if lost != "" && healthy >= ReplicasPerPartition {
-		next.Voters = without(next.Voters, lost)
+	if failed != "" && healthy >= ReplicasPerPartition {
+		next.Voters = without(next.Voters, failed)
 		return next, true
 	}
 	if healthy < ReplicasPerPartition && len(next.Learners) == 0 && found {
@@ -154,6 +157,7 @@
 	return next, false
 }
 
+// surplusVoter returns a voter other than this node if the group has too many, or "".
 func (m *Manager) surplusVoter(members consensus.Members) string {
 	if len(members.Voters) <= ReplicasPerPartition {
 		return ""
@@ -173,16 +177,18 @@
 	return err == nil && caughtUp
 }
 
-func (m *Manager) lostVoter(view *membership.View, members consensus.Members) string {
+// failedVoter returns the first voter that needs replacement, or "".
+func (m *Manager) failedVoter(view *membership.View, members consensus.Members) string {
 	for _, id := range members.Voters {
-		if m.goneLong(view, id) {
+		if m.needsReplacement(view, id) {
 			return id
 		}
 	}
 	return ""
 }
 
-// replacement picks a working node of the region, from a zone that the group lacks if possible.
+// replacement selects an alive node of this region that is not a member, preferably in a zone without a
+// member and with few replicas.
 func (m *Manager) replacement(view *membership.View, members consensus.Members) (string, bool) {
 	zones := make(map[string]bool)
 	for _, id := range members.All() {
@@ -209,7 +215,7 @@
 	return best.ReplicaID, true
 }
 
-// replicaLoad counts the replicas that each node holds, as far as this node knows.
+// replicaLoad returns the number of known replicas on each node, by the replica ID of the node.
 func (m *Manager) replicaLoad() map[string]int {
 	load := make(map[string]int)
 	for _, placement := range m.Placements() {
@@ -234,8 +240,8 @@
 	return slices.DeleteFunc(slices.Clone(list), func(item string) bool { return item == id })
 }
 
-// TransferLeadership hands the groups that this node leads to other voters, before a planned stop. It
-// returns when none is led here any more, or the context ends.
+// TransferLeadership transfers the leadership of all groups that this node leads to other voters, before a
+// planned stop. It returns true once this node leads none with other voters, or false when ctx is done.
 func (m *Manager) TransferLeadership(ctx context.Context) bool {
 	ticker := time.NewTicker(checkInterval / 10)
 	defer ticker.Stop()
@@ -259,6 +265,7 @@
 	}
 }
 
+// transfer starts a transfer of the leadership of a group to an alive voter.
 func (m *Manager) transfer(ctx context.Context, view *membership.View, status replica.Status) {
 	for _, id := range status.Members.Voters {
 		member, known := view.ByReplicaID(id)
@@ -267,7 +274,7 @@
 		}
 		_ = m.options.Host.Do(ctx, status.Group, func(core *consensus.Core) {
 			if !core.Transferring() {
-				// A refusal means that leadership has moved already.
+				// An error means that this node is no longer the leader.
 				_ = core.TransferLeadership(id)
 			}
 		})
--- a/internal/partition/repair_test.go
+++ b/internal/partition/repair_test.go
@@ -18,24 +18,23 @@
 )
 
 const (
-	patience = 60 * time.Second
-	// testGroup is the partition of these tests; here is the node that runs, and distant its leader, of
-	// which there is nothing but its messages.
-	testGroup = 7
-	here      = "here"
-	distant   = "distant"
-	// changedAt is where the log of the leader says that the group is distant and two others.
+	testTimeout = 60 * time.Second
+	testGroup   = 7
+	// selfID is the node under test. leaderID is the leader of its group, which only sends messages.
+	selfID   = "self"
+	leaderID = "leader"
+	// changedAt is the log index of the membership change.
 	changedAt = 5
 )
 
-// idle is a state machine without state.
-type idle struct{}
+// noopMachine is a state machine without state.
+type noopMachine struct{}
 
-func (idle) Apply(uint64, []byte) any  { return nil }
-func (idle) Snapshot() ([]byte, error) { return nil, nil }
-func (idle) Restore([]byte) error      { return nil }
+func (noopMachine) Apply(uint64, []byte) any  { return nil }
+func (noopMachine) Snapshot() ([]byte, error) { return nil, nil }
+func (noopMachine) Restore([]byte) error      { return nil }
 
-// follower is a node whose replica hears a distant leader.
+// follower is a node with a replica that receives messages from a simulated leader.
 type follower struct {
 	t       *testing.T
 	manager *Manager
@@ -44,7 +43,7 @@
 	address string
 }
 
-// groupMessage is the wire form of what a leader sends.
+// groupMessage is the wire format of a consensus message.
 type groupMessage struct {
 	Group   uint32            `json:"g"`
 	Message consensus.Message `json:"m"`
@@ -54,14 +53,14 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	created := &follower{t: t, address: listener.Addr().String()}
-	network := transport.New(transport.Options{Cluster: "c", NodeID: here, Address: created.address, Logger: events.Discard()})
-	created.leader = transport.New(transport.Options{Cluster: "c", NodeID: distant, Address: "127.0.0.1:1", Logger: events.Discard()})
+	network := transport.New(transport.Options{Cluster: "c", NodeID: selfID, Address: created.address, Logger: events.Discard()})
+	created.leader = transport.New(transport.Options{Cluster: "c", NodeID: leaderID, Address: "127.0.0.1:1", Logger: events.Discard()})
 	created.host = replica.NewHost(replica.Options{
-		ReplicaID: here, Transport: network, Storage: replica.MemoryStorage{}, Logger: events.Discard(),
+		ReplicaID: selfID, Transport: network, Storage: replica.MemoryStorage{}, Logger: events.Discard(),
 		Address:    func(string) (string, bool) { return "", false },
-		NewMachine: func(uint32) replica.StateMachine { return idle{} },
+		NewMachine: func(uint32) replica.StateMachine { return noopMachine{} },
 	})
-	self := membership.Member{ID: here, ReplicaID: here, Address: created.address, Status: membership.Alive}
+	self := membership.Member{ID: selfID, ReplicaID: selfID, Address: created.address, Status: membership.Alive}
 	members := membership.NewManager(self, nil, membership.DefaultOptions(), network, events.Discard())
 	created.manager = NewManager(Options{Membership: members, Host: created.host, Logger: events.Discard()})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,10 +76,10 @@
 	return created
 }
 
-// feed lets the leader send a log that ends with a group at changedAt, and waits until it is applied here.
-func (f *follower) feed(members consensus.Members) replica.Status {
+// replicate sends a log that ends with a membership change at changedAt, and waits until it is applied.
+func (f *follower) replicate(members consensus.Members) replica.Status {
 	f.t.Helper()
-	message := consensus.Message{Kind: consensus.Append, From: distant, To: here, Term: 1, Commit: changedAt}
+	message := consensus.Message{Kind: consensus.Append, From: leaderID, To: selfID, Term: 1, Commit: changedAt}
 	for index := uint64(1); index < changedAt; index++ {
 		message.Entries = append(message.Entries, consensus.Entry{Index: index, Term: 1})
 	}
@@ -105,46 +104,47 @@
 			return poll.Success()
 		}
 		return poll.Continue("waiting for %s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-// told gives the manager the group as membership spreads it.
-func (f *follower) told(version uint64, voters ...string) {
+// setKnownMembers sets the members of the group as known from gossip.
+func (f *follower) setKnownMembers(version uint64, voters ...string) {
 	f.manager.members[testGroup] = membersRecord{version: version, Members: consensus.Members{Voters: voters}}
 }
 
-// A leader counts on what a replica acknowledged, also before the entry that adds the replica is here. If the replica forgot it,
-// the leader would promote one that can't acknowledge any more, and a group with a lost voter would have no majority.
-func TestAReplicaThatIsBeingAddedKeepsWhatItAcknowledged(t *testing.T) {
+// A replica that is being added must keep the entries that it has acknowledged, even before it receives
+// the entry that adds it. Otherwise the leader would promote a replica without these entries, and a group
+// with a failed voter would have no majority.
+func TestReplicaBeingAddedKeepsAcknowledgedEntries(t *testing.T) {
 	node := newFollower(t)
-	status := node.feed(consensus.Members{Voters: []string{distant, "b", "c"}})
-	node.told(changedAt, distant, "b", "c")
-	node.manager.dropRemoved(status)
+	status := node.replicate(consensus.Members{Voters: []string{leaderID, "b", "c"}})
+	node.setKnownMembers(changedAt, leaderID, "b", "c")
+	node.manager.removeObsolete(status)
 	assert.Equal(t, node.status().Applied, uint64(changedAt))
-	node.waitFor("the leader to be silent", func() bool { return node.status().Leader == "" })
-	node.manager.dropRemoved(node.status())
+	node.waitFor("the leader to time out", func() bool { return node.status().Leader == "" })
+	node.manager.removeObsolete(node.status())
 	assert.Equal(t, node.status().Applied, uint64(changedAt))
 }
 
-// The picture of a group may be older than what its replica acknowledged since.
-func TestAnOldPictureDropsNoReplica(t *testing.T) {
+// An outdated status must not remove a replica that has acknowledged entries since.
+func TestOutdatedStatusRemovesNoReplica(t *testing.T) {
 	node := newFollower(t)
-	node.feed(consensus.Members{Voters: []string{distant, "b", here}})
-	node.told(changedAt, distant, "b", "c")
-	node.manager.dropRemoved(replica.Status{Group: testGroup})
+	node.replicate(consensus.Members{Voters: []string{leaderID, "b", selfID}})
+	node.setKnownMembers(changedAt, leaderID, "b", "c")
+	node.manager.removeObsolete(replica.Status{Group: testGroup})
 	assert.Equal(t, node.status().Applied, uint64(changedAt))
 }
 
-// A replica that its group has gone on without is dropped once no leader sends to it any more.
-func TestARemovedReplicaIsDropped(t *testing.T) {
+// A replica that its group has removed is deleted once it has no leader.
+func TestObsoleteReplicaIsRemoved(t *testing.T) {
 	node := newFollower(t)
-	status := node.feed(consensus.Members{Voters: []string{distant, "b", here}})
-	node.told(changedAt, distant, "b", here)
-	node.manager.dropRemoved(status)
-	assert.Equal(t, node.status().Applied, uint64(changedAt), "it is a member")
-	node.told(changedAt+1, distant, "b", "c")
-	node.waitFor("the replica to be dropped", func() bool {
-		node.manager.dropRemoved(node.status())
+	status := node.replicate(consensus.Members{Voters: []string{leaderID, "b", selfID}})
+	node.setKnownMembers(changedAt, leaderID, "b", selfID)
+	node.manager.removeObsolete(status)
+	assert.Equal(t, node.status().Applied, uint64(changedAt), "a member was removed")
+	node.setKnownMembers(changedAt+1, leaderID, "b", "c")
+	node.waitFor("the replica to be removed", func() bool {
+		node.manager.removeObsolete(node.status())
 		_, known := node.host.Status(testGroup)
 		return !known
 	})
--- a/internal/partition/table.go
+++ b/internal/partition/table.go
@@ -1,6 +1,6 @@
-// Package partition places the partitions of program state: which replicas hold each of them, at
-// first by a table that one node commits in the configuration store, then by changes in each
-// group's own log, which need no store.
+// Package partition assigns the partitions of program state to replicas and repairs their groups. One
+// node commits the initial table of a region to the configuration store; later changes are membership
+// changes in the log of each group and need no store.
 package partition
 
 import (
@@ -13,38 +13,40 @@
 	"github.com/mountstile/mountstile/internal/membership"
 )
 
-// Placement is the replicas of one partition.
+// Placement lists the replicas of one partition.
 type Placement struct {
 	ID      uint32   `json:"id"`
 	Members []string `json:"m"`
 }
 
-// Table is the initial placement of a region's partitions. Later changes override it one by one.
+// Table is the initial placement of the partitions of a region. Later changes override single
+// placements.
 type Table struct {
-	// Generation rises only when operators give up the programs of a region and start anew.
+	// Generation increases only when operators discard the programs of a region and start with a new
+	// table.
 	Generation uint64      `json:"generation"`
 	Region     string      `json:"region"`
 	Partitions []Placement `json:"partitions"`
 }
 
-// ReplicasPerPartition is the size of a group where there are nodes enough.
+// ReplicasPerPartition is the number of voters of a group if there are enough nodes.
 const ReplicasPerPartition = 3
 
-// regionBits is how far a partition's number is from its region's.
-const regionBits = 16
+// numberBits is the number of low bits of a partition ID that hold its number within the region.
+const numberBits = 16
 
-// copysetWidth is with how many others a node shares groups. A small number keeps heartbeats flat
-// and makes it unlikely that three lost nodes are three replicas of one partition.
-const copysetWidth = 4
+// scatterWidth is the number of other nodes with which a node shares groups. A small number limits the
+// heartbeat messages, and makes it unlikely that the loss of three nodes loses a partition.
+const scatterWidth = 4
 
-// regionBase keeps the partition numbers of regions apart.
+// regionBase returns the first partition ID of a region. It is derived from a hash of the name.
 func regionBase(region string) uint32 {
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(region))
-	return digest.Sum32() << regionBits
+	return digest.Sum32() << numberBits
 }
 
-// NewTable places count partitions on the members of a region.
+// NewTable returns a table that places count partitions on the members of a region.
 func NewTable(region string, count int, members []membership.Member) Table {
 	copysets := buildCopysets(members)
 	table := Table{Generation: 1, Region: region}
@@ -58,13 +60,13 @@
 	return table
 }
 
-// buildCopysets groups members by threes from different zones (Cidon et al., "Copysets: Reducing
-// the Frequency of Data Loss in Cloud Storage", 2013). Each permutation gives every member one
-// copyset, and with it two companions.
+// buildCopysets returns sets of three members from different zones (Cidon et al., "Copysets: Reducing
+// the Frequency of Data Loss in Cloud Storage", 2013). Each permutation puts every member into one set,
+// with two other members.
 func buildCopysets(members []membership.Member) [][]membership.Member {
 	size := min(ReplicasPerPartition, len(members))
 	var copysets [][]membership.Member
-	for permutation := range copysetWidth / 2 {
+	for permutation := range scatterWidth / 2 {
 		remaining := shuffled(members, permutation)
 		for len(remaining) > 0 {
 			var copyset []membership.Member
@@ -75,6 +77,8 @@
 	return copysets
 }
 
+// shuffled returns the members in a pseudorandom order that depends only on their replica IDs and the
+// permutation.
 func shuffled(members []membership.Member, permutation int) []membership.Member {
 	result := slices.Clone(members)
 	weight := func(member membership.Member) uint64 {
@@ -84,26 +88,27 @@
 	return result
 }
 
-// takeCopyset takes members of different zones, always from the zones that have most left.
+// takeCopyset takes up to size members of different zones, from the zones with the most members left.
+// rest holds the others.
 func takeCopyset(members []membership.Member, size int) (copyset, rest []membership.Member) {
-	left := make(map[string]int)
+	remaining := make(map[string]int)
 	for _, member := range members {
-		left[member.Zone]++
+		remaining[member.Zone]++
 	}
-	zones := make([]string, 0, len(left))
-	for zone := range left {
+	zones := make([]string, 0, len(remaining))
+	for zone := range remaining {
 		zones = append(zones, zone)
 	}
 	slices.SortFunc(zones, func(a, b string) int {
-		if order := cmp.Compare(left[b], left[a]); order != 0 {
+		if order := cmp.Compare(remaining[b], remaining[a]); order != 0 {
 			return order
 		}
 		return cmp.Compare(a, b)
 	})
-	wanted := zones[:min(size, len(zones))]
+	selected := zones[:min(size, len(zones))]
 	taken := make(map[string]bool)
 	for _, member := range members {
-		if slices.Contains(wanted, member.Zone) && !taken[member.Zone] {
+		if slices.Contains(selected, member.Zone) && !taken[member.Zone] {
 			taken[member.Zone] = true
 			copyset = append(copyset, member)
 			continue
@@ -113,7 +118,7 @@
 	return copyset, rest
 }
 
-// fillCopyset completes a copyset where there are fewer zones than replicas.
+// fillCopyset adds members of any zone to a copyset that has fewer than size members.
 func fillCopyset(copyset, members []membership.Member, size int) []membership.Member {
 	for _, member := range members {
 		if len(copyset) >= size {
@@ -126,7 +131,7 @@
 	return copyset
 }
 
-// ForKey returns the partition of a program's root.
+// ForKey returns the partition of a program, given its tenant and root.
 func (t *Table) ForKey(tenant, root string) Placement {
 	hash := xxhash.Sum64String(tenant + "\x00" + root)
 	return t.Partitions[hash%uint64(len(t.Partitions))]
