--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -13,59 +13,59 @@
 	"github.com/mountstile/mountstile/internal/consensus"
 )
 
-// Stored is what storage holds of one group.
-type Stored struct {
+// StoredGroup is the persisted state of one replica.
+type StoredGroup struct {
 	State    consensus.HardState
 	Snapshot consensus.Snapshot
 	Entries  []consensus.Entry
 }
 
-// Storage keeps the logs of a node's groups. Save returns only when the data is as durable as the
-// storage makes it.
+// Storage persists the replicas of a node.
 type Storage interface {
-	// Groups lists the groups that storage holds.
+	// Groups lists the stored groups.
 	Groups() ([]uint32, error)
-	Load(group uint32) (Stored, error)
-	// Save writes what is set. Entries replace the stored log from their first index on; a
-	// snapshot drops the entries up to its index.
+	Load(group uint32) (StoredGroup, error)
+	// Save writes the arguments that are not nil, and returns when they are as durable as the storage
+	// provides. Entries replace the stored log from the index of the first one; a snapshot removes the
+	// entries up to its index.
 	Save(group uint32, state *consensus.HardState, snapshot *consensus.Snapshot, entries []consensus.Entry) error
 	Remove(group uint32) error
 	Close() error
 }
 
-// Memory is the storage of nodes without a disk: nothing outlives the process. Such a node gets a
-// new replica identity at each start, so that a forgotten vote can't be cast twice.
-type Memory struct{}
+// MemoryStorage is the storage of nodes without a data folder. It stores nothing, so such a node must use
+// a new replica ID at each start; otherwise it could vote twice in a term.
+type MemoryStorage struct{}
 
 // Groups implements Storage.
-func (Memory) Groups() ([]uint32, error) { return nil, nil }
+func (MemoryStorage) Groups() ([]uint32, error) { return nil, nil }
 
 // Load implements Storage.
-func (Memory) Load(uint32) (Stored, error) { return Stored{}, nil }
+func (MemoryStorage) Load(uint32) (StoredGroup, error) { return StoredGroup{}, nil }
 
 // Save implements Storage.
-func (Memory) Save(uint32, *consensus.HardState, *consensus.Snapshot, []consensus.Entry) error {
+func (MemoryStorage) Save(uint32, *consensus.HardState, *consensus.Snapshot, []consensus.Entry) error {
 	return nil
 }
 
 // Remove implements Storage.
-func (Memory) Remove(uint32) error { return nil }
+func (MemoryStorage) Remove(uint32) error { return nil }
 
 // Close implements Storage.
-func (Memory) Close() error { return nil }
+func (MemoryStorage) Close() error { return nil }
 
-// ErrCorrupt means that stored data does not match its checksum.
+// ErrCorrupt is returned for stored data that does not match its checksum or cannot be decoded.
 type ErrCorrupt struct {
 	Group uint32
 	What  string
 }
 
 // Error implements error.
-func (e *ErrCorrupt) Error() string { return "stored " + e.What + " does not match its checksum" }
+func (e *ErrCorrupt) Error() string { return "stored " + e.What + " is corrupt" }
 
 const (
 	diskFileName    = "replicas.db"
-	diskOpenTimeout = 2 * time.Second
+	diskLockTimeout = 2 * time.Second
 	diskFileMode    = 0o600
 )
 
@@ -76,52 +76,53 @@
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Disk is the storage of nodes with a data folder: one bbolt file, a bucket a group. bbolt's
-// copy-on-write pages make a torn write invisible; each value carries its own checksum besides,
-// against silent corruption.
-type Disk struct {
+// DiskStorage is the storage of nodes with a data folder. It is a bbolt file with one bucket per group.
+// bbolt's copy-on-write pages protect against torn writes; a checksum on each value detects silent
+// corruption.
+type DiskStorage struct {
 	database *bbolt.DB
 }
 
-// OpenDisk opens or creates the file in folder. The file is locked, so that two processes can't
-// share a replica identity.
-func OpenDisk(folder string) (*Disk, error) {
+// OpenDiskStorage opens or creates the file in folder. It locks the file, so that two processes cannot
+// use the same replica ID.
+func OpenDiskStorage(folder string) (*DiskStorage, error) {
 	path := filepath.Join(folder, diskFileName)
-	database, err := bbolt.Open(path, diskFileMode, &bbolt.Options{Timeout: diskOpenTimeout, NoFreelistSync: true})
+	database, err := bbolt.Open(path, diskFileMode, &bbolt.Options{Timeout: diskLockTimeout, NoFreelistSync: true})
 	if err != nil {
 		return nil, errors.Wrapf(err, "opening %s (is another process using the data folder?)", path)
 	}
-	return &Disk{database: database}, nil
+	return &DiskStorage{database: database}, nil
 }
 
 func groupKey(group uint32) []byte { return binary.BigEndian.AppendUint32(nil, group) }
 
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// seal prefixes a JSON value with its checksum.
-func seal(value any) ([]byte, error) {
-	encoded, err := json.Marshal(value)
+// encode returns value as JSON, prefixed with its checksum.
+func encode(value any) ([]byte, error) {
+	payload, err := json.Marshal(value)
 	if err != nil {
 		return nil, errors.Wrap(err, "encoding for storage")
 	}
-	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(encoded, castagnoli)), encoded...), nil
+	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(payload, castagnoli)), payload...), nil
 }
 
-func unseal(group uint32, what string, sealed []byte, value any) error {
-	if sealed == nil {
+// decode verifies the checksum of a stored value and decodes it. A missing value is left as it is.
+func decode(group uint32, what string, encoded []byte, value any) error {
+	if encoded == nil {
 		return nil
 	}
-	if len(sealed) < crc32.Size || binary.BigEndian.Uint32(sealed) != crc32.Checksum(sealed[crc32.Size:], castagnoli) {
+	if len(encoded) < crc32.Size || binary.BigEndian.Uint32(encoded) != crc32.Checksum(encoded[crc32.Size:], castagnoli) {
 		return &ErrCorrupt{Group: group, What: what}
 	}
-	if err := json.Unmarshal(sealed[crc32.Size:], value); err != nil {
+	if err := json.Unmarshal(encoded[crc32.Size:], value); err != nil {
 		return &ErrCorrupt{Group: group, What: what}
 	}
 	return nil
 }
 
 // Groups implements Storage.
-func (d *Disk) Groups() ([]uint32, error) {
+func (d *DiskStorage) Groups() ([]uint32, error) {
 	var groups []uint32
 	err := d.database.View(func(transaction *bbolt.Tx) error {
 		return transaction.ForEach(func(name []byte, _ *bbolt.Bucket) error {
@@ -129,26 +130,26 @@
 			return nil
 		})
 	})
-	return groups, errors.Wrap(err, "listing groups")
+	return groups, errors.Wrap(err, "listing stored groups")
 }
 
 // Load implements Storage.
-func (d *Disk) Load(group uint32) (Stored, error) {
-	var stored Stored
+func (d *DiskStorage) Load(group uint32) (StoredGroup, error) {
+	var stored StoredGroup
 	err := d.database.View(func(transaction *bbolt.Tx) error {
 		bucket := transaction.Bucket(groupKey(group))
 		if bucket == nil {
 			return nil
 		}
-		if err := unseal(group, "state", bucket.Get(stateKey), &stored.State); err != nil {
+		if err := decode(group, "state", bucket.Get(stateKey), &stored.State); err != nil {
 			return err
 		}
-		if err := unseal(group, "snapshot", bucket.Get(snapshotKey), &stored.Snapshot); err != nil {
+		if err := decode(group, "snapshot", bucket.Get(snapshotKey), &stored.Snapshot); err != nil {
 			return err
 		}
-		return bucket.Bucket(logBucket).ForEach(func(_, sealed []byte) error {
+		return bucket.Bucket(logBucket).ForEach(func(_, encoded []byte) error {
 			var entry consensus.Entry
-			if err := unseal(group, "entry", sealed, &entry); err != nil {
+			if err := decode(group, "entry", encoded, &entry); err != nil {
 				return err
 			}
 			if entry.Index > stored.Snapshot.Index {
@@ -161,7 +162,7 @@
 }
 
 // Save implements Storage.
-func (d *Disk) Save(group uint32, state *consensus.HardState, snapshot *consensus.Snapshot, entries []consensus.Entry) error {
+func (d *DiskStorage) Save(group uint32, state *consensus.HardState, snapshot *consensus.Snapshot, entries []consensus.Entry) error {
 	err := d.database.Update(func(transaction *bbolt.Tx) error {
 		bucket, err := transaction.CreateBucketIfNotExists(groupKey(group))
 		if err != nil {
@@ -180,7 +181,7 @@
 			if err := put(bucket, snapshotKey, snapshot); err != nil {
 				return err
 			}
-			if err := removeThrough(entryBucket, snapshot.Index); err != nil {
+			if err := deleteThrough(entryBucket, snapshot.Index); err != nil {
 				return err
 			}
 		}
@@ -190,14 +191,15 @@
 }
 
 func put(bucket *bbolt.Bucket, key []byte, value any) error {
-	sealed, err := seal(value)
+	encoded, err := encode(value)
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, sealed)
+	return bucket.Put(key, encoded)
 }
 
-func removeThrough(bucket *bbolt.Bucket, last uint64) error {
+// deleteThrough deletes the entries up to and including last.
+func deleteThrough(bucket *bbolt.Bucket, last uint64) error {
 	cursor := bucket.Cursor()
 	for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) <= last; key, _ = cursor.Next() {
 		if err := cursor.Delete(); err != nil {
@@ -207,7 +209,7 @@
 	return nil
 }
 
-// replaceFrom drops the log from the first entry's index on, and appends the entries.
+// replaceFrom deletes the stored log from the index of the first entry, and appends entries.
 func replaceFrom(bucket *bbolt.Bucket, entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -227,7 +229,7 @@
 }
 
 // Remove implements Storage.
-func (d *Disk) Remove(group uint32) error {
+func (d *DiskStorage) Remove(group uint32) error {
 	err := d.database.Update(func(transaction *bbolt.Tx) error {
 		if transaction.Bucket(groupKey(group)) == nil {
 			return nil
@@ -238,4 +240,6 @@
 }
 
 // Close implements Storage.
-func (d *Disk) Close() error { return errors.Wrap(d.database.Close(), "closing the data file") }
+func (d *DiskStorage) Close() error {
+	return errors.Wrap(d.database.Close(), "closing the replica storage")
+}
