--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -125,7 +125,7 @@
 	if m.isMirror() {
 		request.Endpoint = &m.options.Self
 	}
-	return transport.CallAround[followResponse](callContext, m.network, address, followKind, request, detourDelay)
+	return transport.CallWithRelays[followResponse](callContext, m.network, address, followKind, request, detourDelay)
 }
 
 // recordResponse records the position, the sync time and the referrals of a response. Its entries must have been
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -19,11 +19,11 @@
 type Models interface {
 	Engines(name string, pool *resource.Pool, model string) []resource.Engine
 	Changed() <-chan struct{}
-	// Want tells that a call waits for a model that no engine has.
-	Want()
-	// Refute tells that an engine has refused a call, for it lacks a model that it should have by what
+	// ReportDemand tells that a call waits for a model that no engine has.
+	ReportDemand()
+	// MarkNotLoaded tells that an engine has refused a call, for it lacks a model that it should have by what
 	// Engines returned.
-	Refute(pool, engine, model string) bool
+	MarkNotLoaded(pool, engine, model string) bool
 }
 
 // errMoreEngines is the cause when a placement begins anew, for further engines have the model.
@@ -64,7 +64,7 @@
 		if engines := s.options.Models.Engines(name, pool, request.Admit.Model); len(engines) > 0 {
 			return engines, nil
 		}
-		s.options.Models.Want()
+		s.options.Models.ReportDemand()
 		select {
 		case <-changed:
 		case <-ticker.C:
@@ -113,7 +113,7 @@
 	if !known || pool.Loading == nil {
 		return false
 	}
-	s.options.Models.Refute(service.Pool, request.Lacking, request.Begin.Admit.Model)
+	s.options.Models.MarkNotLoaded(service.Pool, request.Lacking, request.Begin.Admit.Model)
 	return true
 }
 
--- a/internal/emulator/orders.go
+++ b/internal/emulator/orders.go
@@ -109,7 +109,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return &engine.ErrRefused{Status: response.StatusCode}
+		return &engine.ErrStatus{Status: response.StatusCode}
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	return err
--- a/internal/engine/application.go
+++ b/internal/engine/application.go
@@ -25,24 +25,24 @@
 	Attempt int
 }
 
-// ApplicationAnswer is a whole answer; it is held until its commit.
-type ApplicationAnswer struct {
+// ApplicationResponse is a whole answer; it is held until its commit.
+type ApplicationResponse struct {
 	Status  int
 	Header  http.Header
 	Trailer http.Header
 	Body    []byte
 }
 
-// ErrTooLarge means that an answer is over the limit.
-type ErrTooLarge struct{ Limit int64 }
+// ErrResponseTooLarge means that an answer is over the limit.
+type ErrResponseTooLarge struct{ Limit int64 }
 
 // Error implements error.
-func (e *ErrTooLarge) Error() string {
+func (e *ErrResponseTooLarge) Error() string {
 	return "the back end's answer is over " + strconv.FormatInt(e.Limit, 10) + " bytes"
 }
 
-// MaxAnswerBytes bounds an application engine's answer, for it is stored.
-const MaxAnswerBytes = 4 << 20
+// MaxResponseBytes bounds an application engine's answer, for it is stored.
+const MaxResponseBytes = 4 << 20
 
 // Application reaches application engines.
 type Application struct {
@@ -70,27 +70,27 @@
 	}
 }
 
-// Do sends a request once and reads the whole answer. Errors: *ErrUndelivered, *ErrBroken,
-// *ErrTooLarge.
-func (a *Application) Do(ctx context.Context, target Target, request ApplicationRequest) (*ApplicationAnswer, error) {
+// Do sends a request once and reads the whole answer. Errors: *ErrNotSent, *ErrInterrupted,
+// *ErrResponseTooLarge.
+func (a *Application) Do(ctx context.Context, target Target, request ApplicationRequest) (*ApplicationResponse, error) {
 	httpRequest, err := buildApplicationRequest(ctx, target, request)
 	if err != nil {
-		return nil, &ErrUndelivered{Cause: err}
+		return nil, &ErrNotSent{Cause: err}
 	}
 	response, err := sendOnce(ctx, a.transport, httpRequest)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxResponseBytes+1))
 	if err != nil {
-		return nil, &ErrBroken{Cause: err}
+		return nil, &ErrInterrupted{Cause: err}
 	}
-	if len(body) > MaxAnswerBytes {
-		return nil, &ErrTooLarge{Limit: MaxAnswerBytes}
+	if len(body) > MaxResponseBytes {
+		return nil, &ErrResponseTooLarge{Limit: MaxResponseBytes}
 	}
 	StripHopByHop(response.Header)
-	return &ApplicationAnswer{Status: response.StatusCode, Header: response.Header, Trailer: response.Trailer, Body: body}, nil
+	return &ApplicationResponse{Status: response.StatusCode, Header: response.Header, Trailer: response.Trailer, Body: body}, nil
 }
 
 func buildApplicationRequest(ctx context.Context, target Target, request ApplicationRequest) (*http.Request, error) {
--- a/internal/engine/cut_test.go
+++ b/internal/engine/cut_test.go
@@ -52,7 +52,7 @@
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
 			got, err := NewApplication().Do(t.Context(), rawAnswer(t, answer), ApplicationRequest{Method: http.MethodPost, Body: []byte("x")})
-			var broken *ErrBroken
+			var broken *ErrInterrupted
 			assert.Assert(t, errors.As(err, &broken), "%v, %v", got, err)
 		})
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -45,7 +45,7 @@
 	Model string
 }
 
-// Stream delivers an answer; io.EOF ends a whole one, *ErrBroken a cut-off one.
+// Stream delivers an answer; io.EOF ends a whole one, *ErrInterrupted a cut-off one.
 type Stream interface {
 	Next() (Delta, error)
 	Close()
@@ -53,7 +53,7 @@
 
 // ModelEngine is what the product needs of model engines.
 type ModelEngine interface {
-	// Chat sends a request. Errors: *ErrUndelivered, *ErrRefused, *ErrBroken.
+	// Chat sends a request. Errors: *ErrNotSent, *ErrStatus, *ErrInterrupted.
 	Chat(ctx context.Context, target Target, request ChatRequest) (Stream, error)
 	// ReleaseCache makes the engine drop a program's cache; nil means that it has confirmed.
 	ReleaseCache(ctx context.Context, target Target, programID string) error
@@ -83,9 +83,9 @@
 
 // Loader gives engines orders.
 type Loader interface {
-	// Order sends an order. Errors: *ErrFenced, *ErrRefused, *ErrBroken; after the last it may hold.
+	// Order sends an order. Errors: *ErrFenced, *ErrStatus, *ErrInterrupted; after the last it may hold.
 	Order(ctx context.Context, target Target, order Order) error
-	// ModelState asks what an engine has loaded. Errors: *ErrRefused, *ErrBroken.
+	// ModelState asks what an engine has loaded. Errors: *ErrStatus, *ErrInterrupted.
 	ModelState(ctx context.Context, target Target) (ModelState, error)
 }
 
@@ -97,40 +97,40 @@
 	return fmt.Sprintf("the order is fenced off: the engine has seen token %d", e.State.Token)
 }
 
-// ErrNoModel means that the engine has not loaded the request's model; it did not run the request.
-type ErrNoModel struct{ Model string }
+// ErrModelNotLoaded means that the engine has not loaded the request's model; it did not run the request.
+type ErrModelNotLoaded struct{ Model string }
 
 // Error implements error.
-func (e *ErrNoModel) Error() string { return "the engine has not loaded model " + e.Model }
+func (e *ErrModelNotLoaded) Error() string { return "the engine has not loaded model " + e.Model }
 
-// ErrUndelivered means that not a byte of the request was sent.
-type ErrUndelivered struct{ Cause error }
+// ErrNotSent means that not a byte of the request was sent.
+type ErrNotSent struct{ Cause error }
 
 // Error implements error.
-func (e *ErrUndelivered) Error() string { return "the engine can't be reached: " + e.Cause.Error() }
+func (e *ErrNotSent) Error() string { return "the engine can't be reached: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *ErrUndelivered) Unwrap() error { return e.Cause }
+func (e *ErrNotSent) Unwrap() error { return e.Cause }
 
-// ErrBroken means that the connection was lost after the request was, or may have been, sent.
-type ErrBroken struct{ Cause error }
+// ErrInterrupted means that the connection was lost after the request was, or may have been, sent.
+type ErrInterrupted struct{ Cause error }
 
 // Error implements error.
-func (e *ErrBroken) Error() string { return "the engine was lost: " + e.Cause.Error() }
+func (e *ErrInterrupted) Error() string { return "the engine was lost: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *ErrBroken) Unwrap() error { return e.Cause }
+func (e *ErrInterrupted) Unwrap() error { return e.Cause }
 
-// ErrRefused means that the engine answered with a failure.
-type ErrRefused struct {
+// ErrStatus means that the engine answered with a failure.
+type ErrStatus struct {
 	Status int
 	Body   string
 }
 
 // Error implements error.
-func (e *ErrRefused) Error() string {
+func (e *ErrStatus) Error() string {
 	return fmt.Sprintf("the engine answered with status %d: %s", e.Status, e.Body)
 }
 
 // Temporary reports whether another engine, or another time, may help.
-func (e *ErrRefused) Temporary() bool { return e.Status >= 500 || e.Status == 429 }
+func (e *ErrStatus) Temporary() bool { return e.Status >= 500 || e.Status == 429 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -85,7 +85,7 @@
 			_, err := application.Do(t.Context(), target, request)
 			assert.NilError(t, err)
 			_, err = application.Do(t.Context(), target, request)
-			var broken *ErrBroken
+			var broken *ErrInterrupted
 			assert.Assert(t, errors.As(err, &broken), "%v", err)
 			assert.Equal(t, server.count(), 2)
 		})
@@ -105,7 +105,7 @@
 
 func TestUndeliveredOnlyIfNothingWasSent(t *testing.T) {
 	_, err := NewApplication().Do(t.Context(), Target{URL: "http://127.0.0.1:1"}, ApplicationRequest{Method: http.MethodPost})
-	var undelivered *ErrUndelivered
+	var undelivered *ErrNotSent
 	assert.Assert(t, errors.As(err, &undelivered), "%v", err)
 }
 
@@ -114,12 +114,12 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.Copy(w, io.LimitReader(zeroes{}, MaxAnswerBytes+1))
+		_, _ = io.Copy(w, io.LimitReader(zeroes{}, MaxResponseBytes+1))
 	})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	_, err = NewApplication().Do(t.Context(), Target{URL: "http://" + listener.Addr().String()}, ApplicationRequest{Method: http.MethodGet})
-	var tooLarge *ErrTooLarge
+	var tooLarge *ErrResponseTooLarge
 	assert.Assert(t, errors.As(err, &tooLarge), "%v", err)
 }
 
@@ -178,7 +178,7 @@
 	for name, input := range cutOff {
 		t.Run(name, func(t *testing.T) {
 			_, err := readAll(streamOf(input))
-			var broken *ErrBroken
+			var broken *ErrInterrupted
 			assert.Assert(t, errors.As(err, &broken), "%v", err)
 		})
 	}
--- a/internal/engine/once.go
+++ b/internal/engine/once.go
@@ -53,8 +53,8 @@
 	case err == nil:
 		return response, nil
 	case connected.Load():
-		return nil, &ErrBroken{Cause: err}
+		return nil, &ErrInterrupted{Cause: err}
 	default:
-		return nil, &ErrUndelivered{Cause: err}
+		return nil, &ErrNotSent{Cause: err}
 	}
 }
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -105,11 +105,11 @@
 func (o *OpenAI) Chat(ctx context.Context, target Target, request ChatRequest) (Stream, error) {
 	body, err := encodeChat(request)
 	if err != nil {
-		return nil, &ErrUndelivered{Cause: err}
+		return nil, &ErrNotSent{Cause: err}
 	}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, target.URL+ChatPath, onceBody{bytes.NewReader(body)})
 	if err != nil {
-		return nil, &ErrUndelivered{Cause: err}
+		return nil, &ErrNotSent{Cause: err}
 	}
 	httpRequest.ContentLength = int64(len(body))
 	httpRequest.Header.Set("Content-Type", jsonMediaType)
@@ -124,10 +124,10 @@
 	if response.StatusCode != http.StatusOK {
 		defer drain(response.Body)
 		if response.StatusCode == http.StatusNotFound {
-			return nil, &ErrNoModel{Model: request.Model}
+			return nil, &ErrModelNotLoaded{Model: request.Model}
 		}
 		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-		return nil, &ErrRefused{Status: response.StatusCode, Body: string(bytes.TrimSpace(text))}
+		return nil, &ErrStatus{Status: response.StatusCode, Body: string(bytes.TrimSpace(text))}
 	}
 	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(nil, maxEventBytes)
@@ -210,16 +210,16 @@
 		if payload == endOfStream {
 			s.ended = true
 			if !s.finished {
-				return Delta{}, &ErrBroken{Cause: io.ErrUnexpectedEOF}
+				return Delta{}, &ErrInterrupted{Cause: io.ErrUnexpectedEOF}
 			}
 			return Delta{}, io.EOF
 		}
 		return s.decode(payload)
 	}
 	if err := s.scanner.Err(); err != nil {
-		return Delta{}, &ErrBroken{Cause: err}
+		return Delta{}, &ErrInterrupted{Cause: err}
 	}
-	return Delta{}, &ErrBroken{Cause: io.ErrUnexpectedEOF}
+	return Delta{}, &ErrInterrupted{Cause: io.ErrUnexpectedEOF}
 }
 
 const shownEventBytes = 80
@@ -227,15 +227,15 @@
 func (s *eventStream) decode(payload string) (Delta, error) {
 	var event chunk
 	if err := json.Unmarshal([]byte(payload), &event); err != nil {
-		return Delta{}, &ErrBroken{Cause: &errGarbled{Event: payload[:min(len(payload), shownEventBytes)]}}
+		return Delta{}, &ErrInterrupted{Cause: &errGarbled{Event: payload[:min(len(payload), shownEventBytes)]}}
 	}
 	if event.Error != nil {
-		return Delta{}, &ErrBroken{Cause: &errGarbled{Event: event.Error.Message}}
+		return Delta{}, &ErrInterrupted{Cause: &errGarbled{Event: event.Error.Message}}
 	}
 	delta := Delta{Model: event.Model}
 	for _, choice := range event.Choices {
 		if err := s.decodeChoice(choice, &delta); err != nil {
-			return Delta{}, &ErrBroken{Cause: err}
+			return Delta{}, &ErrInterrupted{Cause: err}
 		}
 	}
 	if event.Usage != nil {
@@ -306,11 +306,11 @@
 	request.Header.Set("Content-Type", jsonMediaType)
 	response, err := o.transport.RoundTrip(request)
 	if err != nil {
-		return &ErrBroken{Cause: err}
+		return &ErrInterrupted{Cause: err}
 	}
 	defer drain(response.Body)
 	if response.StatusCode != http.StatusOK {
-		return &ErrRefused{Status: response.StatusCode}
+		return &ErrStatus{Status: response.StatusCode}
 	}
 	return nil
 }
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -45,15 +45,15 @@
 	request.Header.Set("Content-Type", jsonMediaType)
 	response, err := o.transport.RoundTrip(request)
 	if err != nil {
-		return ModelState{}, &ErrBroken{Cause: err}
+		return ModelState{}, &ErrInterrupted{Cause: err}
 	}
 	defer drain(response.Body)
 	if response.StatusCode >= http.StatusMultipleChoices && response.StatusCode != http.StatusConflict {
-		return ModelState{}, &ErrRefused{Status: response.StatusCode}
+		return ModelState{}, &ErrStatus{Status: response.StatusCode}
 	}
 	state, err := decodeModelState(response.Body)
 	if err != nil {
-		return ModelState{}, &ErrBroken{Cause: err}
+		return ModelState{}, &ErrInterrupted{Cause: err}
 	}
 	if response.StatusCode == http.StatusConflict {
 		return state, &ErrFenced{State: state}
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -13,22 +13,22 @@
 	paceQuantile = 0.25
 )
 
-// Pace learns how long an engine's steps take from the times of an answer's pieces.
-type Pace struct {
+// StepTimer learns how long an engine's steps take from the times of an answer's pieces.
+type StepTimer struct {
 	last time.Time
 	gaps []time.Duration
 }
 
-// Note records a piece.
-func (p *Pace) Note(now time.Time) {
+// RecordChunk records a piece.
+func (p *StepTimer) RecordChunk(now time.Time) {
 	if !p.last.IsZero() && len(p.gaps) < mostGaps {
 		p.gaps = append(p.gaps, now.Sub(p.last))
 	}
 	p.last = now
 }
 
-// Step is the time of an undisturbed step; 0 if the answer was too short to tell.
-func (p *Pace) Step() time.Duration {
+// StepTime is the time of an undisturbed step; 0 if the answer was too short to tell.
+func (p *StepTimer) StepTime() time.Duration {
 	if len(p.gaps) < leastGaps {
 		return 0
 	}
--- a/internal/engine/pace_test.go
+++ b/internal/engine/pace_test.go
@@ -10,17 +10,17 @@
 // TestPaceIsThatOfUndisturbedSteps: prompts of other calls that are computed in between don't count,
 // and neither does a short answer.
 func TestPaceIsThatOfUndisturbedSteps(t *testing.T) {
-	var pace Pace
+	var pace StepTimer
 	now := time.Unix(1000, 0)
 	for step := range 20 {
-		pace.Note(now)
+		pace.RecordChunk(now)
 		now = now.Add(10 * time.Millisecond)
 		if step%2 == 0 {
 			now = now.Add(40 * time.Millisecond)
 		}
 		if step == 5 {
-			assert.Equal(t, pace.Step(), time.Duration(0))
+			assert.Equal(t, pace.StepTime(), time.Duration(0))
 		}
 	}
-	assert.Equal(t, pace.Step(), 10*time.Millisecond)
+	assert.Equal(t, pace.StepTime(), 10*time.Millisecond)
 }
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -155,11 +155,11 @@
 		failed = false
 		return nil, nil, e.abandon(response.CallID, response.Attempt)
 	}
-	var tooLarge *engine.ErrTooLarge
+	var tooLarge *engine.ErrResponseTooLarge
 	if errors.As(err, &tooLarge) {
 		return nil, nil, e.settleFailure(ctx, response, apierr.New(apierr.EngineFailed, apierr.Ran, "%s", err), &program.Usage{})
 	}
-	var undelivered *engine.ErrUndelivered
+	var undelivered *engine.ErrNotSent
 	e.avoid = append(e.avoid, target.Name)
 	e.gateway.options.Metrics.retries.WithLabelValues(e.service).Inc()
 	return nil, e.retry(response, errors.As(err, &undelivered)), nil
--- a/internal/gateway/chat_execution.go
+++ b/internal/gateway/chat_execution.go
@@ -30,7 +30,7 @@
 	// content and toolCalls are the answer so far, over all attempts.
 	content   strings.Builder
 	toolCalls toolCallMerger
-	pace      engine.Pace
+	pace      engine.StepTimer
 	usage     usageCounter
 	finish    string
 }
@@ -158,8 +158,8 @@
 func (e *chatExecution) attempt(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, asked time.Time) (*program.Answer, *coordinator.RetryRequest, error) {
 	target := *response.Engine
 	failed := true
-	e.pace = engine.Pace{}
-	defer func() { e.release(target, response.CallID, failed, e.pace.Step()) }()
+	e.pace = engine.StepTimer{}
+	defer func() { e.release(target, response.CallID, failed, e.pace.StepTime()) }()
 	if e.gateway.options.Pauses.PausedSince(asked) {
 		failed = false
 		return nil, e.retryAfter(response, true), nil
@@ -180,15 +180,15 @@
 // afterFailure decides what a failed attempt means.
 func (e *chatExecution) afterFailure(ctx context.Context, response coordinator.BeginResponse, cause error, failed *bool) (*program.Answer, *coordinator.RetryRequest, error) {
 	e.gateway.options.Metrics.retries.WithLabelValues(e.service).Inc()
-	var noModel *engine.ErrNoModel
+	var noModel *engine.ErrModelNotLoaded
 	if errors.As(cause, &noModel) {
 		// The engine works, and did not run the call: it has loaded another model meanwhile.
 		*failed = false
 		return nil, e.withSpent(e.retryWithoutModel(response)), nil
 	}
 	e.avoid = append(e.avoid, response.Engine.Name)
-	var undelivered *engine.ErrUndelivered
-	var refused *engine.ErrRefused
+	var undelivered *engine.ErrNotSent
+	var refused *engine.ErrStatus
 	switch {
 	case errors.As(cause, &undelivered):
 		return nil, e.retryAfter(response, true), nil
@@ -269,7 +269,7 @@
 		}
 		dog.heard()
 		if delta.Content != "" || len(delta.ToolCalls) > 0 {
-			e.pace.Note(time.Now())
+			e.pace.RecordChunk(time.Now())
 			if e.writer == nil {
 				e.gateway.options.Metrics.firstToken.WithLabelValues(e.service).Observe(time.Since(e.started).Seconds())
 			}
@@ -285,7 +285,7 @@
 		return err
 	}
 	e.gateway.options.Logger.Emit(events.EngineStalled, events.F("call", response.CallID), events.F("engine", response.Engine.Name), events.F("seconds", stalled.Limit.Seconds()))
-	return &engine.ErrBroken{Cause: stalled}
+	return &engine.ErrInterrupted{Cause: stalled}
 }
 
 // take adds a piece to the answer and passes it on.
--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -167,7 +167,7 @@
 func (n *Node) Run(ctx context.Context) {
 	go n.awaitReadiness(ctx)
 	go n.turns.ProbeLostShards(ctx)
-	go n.options.Network.KeepRelays(ctx, n.peers)
+	go n.options.Network.RefreshRelays(ctx, n.peers)
 	n.catalog.Run(ctx)
 }
 
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -33,7 +33,7 @@
 	generated int
 	cached    int
 	lost      bool
-	pace      engine.Pace
+	pace      engine.StepTimer
 }
 
 func newSimulatedEngine(virtual *clock.Virtual, config emulator.Config) *simulatedEngine {
@@ -69,7 +69,7 @@
 		return
 	}
 	job.generated, job.cached = item.Token, item.Cached
-	job.pace.Note(e.clock.Now())
+	job.pace.RecordChunk(e.clock.Now())
 	job.first.Fire()
 	if item.Done {
 		delete(e.jobs, item.ID)
--- a/internal/lab/experiment/turn.go
+++ b/internal/lab/experiment/turn.go
@@ -91,7 +91,7 @@
 	lost, step := !reached, time.Duration(0)
 	if reached {
 		lost = t.await(ctx, job)
-		step = job.pace.Step()
+		step = job.pace.StepTime()
 	}
 	if reached && lost {
 		t.world.engines[t.engine].abandon(id)
--- a/internal/modelload/manager.go
+++ b/internal/modelload/manager.go
@@ -68,21 +68,21 @@
 	return math.Exp2(-elapsed.Seconds() / demandHalfLife.Seconds())
 }
 
-// Want tells that a call waits for a model that no engine has; the demand is reported soon.
-func (m *Manager) Want() {
+// ReportDemand tells that a call waits for a model that no engine has; the demand is reported soon.
+func (m *Manager) ReportDemand() {
 	select {
 	case m.wanted <- struct{}{}:
 	default:
 	}
 }
 
-// Refute takes an engine out of use as View's does, and has whoever decides ask it soon.
-func (m *Manager) Refute(pool, engine, model string) bool {
-	if !m.View.Refute(pool, engine, model) {
+// MarkNotLoaded takes an engine out of use as View's does, and has whoever decides ask it soon.
+func (m *Manager) MarkNotLoaded(pool, engine, model string) bool {
+	if !m.View.MarkNotLoaded(pool, engine, model) {
 		return false
 	}
 	m.options.Logger.Emit(events.ModelRefuted, events.F("pool", pool), events.F("engine", engine), events.F("model", model))
-	m.Want()
+	m.ReportDemand()
 	return true
 }
 
@@ -128,7 +128,7 @@
 		if err != nil {
 			continue
 		}
-		report := demandReport{PoolDemand: demand, Node: view.Self.ID, Refuted: m.Refuted(demand.Pool), IntervalMillis: interval.Milliseconds()}
+		report := demandReport{PoolDemand: demand, Node: view.Self.ID, Refuted: m.NotLoaded(demand.Pool), IntervalMillis: interval.Milliseconds()}
 		for _, replicaID := range replicas {
 			member, known := view.Replica(replicaID)
 			switch {
@@ -147,7 +147,7 @@
 func (m *Manager) withRefuted(demands []PoolDemand, set *resource.Set) []PoolDemand {
 	for _, item := range set.LoadingPools() {
 		counted := slices.ContainsFunc(demands, func(demand PoolDemand) bool { return demand.Pool == item.Name })
-		if !counted && len(m.Refuted(item.Name)) > 0 {
+		if !counted && len(m.NotLoaded(item.Name)) > 0 {
 			demands = append(demands, PoolDemand{Pool: item.Name})
 		}
 	}
--- a/internal/modelload/view.go
+++ b/internal/modelload/view.go
@@ -76,11 +76,11 @@
 	v.changed = make(chan struct{})
 }
 
-// Refute takes an engine out of use that has refused a call, for it lacks the model of its record. An order's
+// MarkNotLoaded takes an engine out of use that has refused a call, for it lacks the model of its record. An order's
 // record is lost when the node that gave it dies before it has told the others; calls that go on to that
 // engine would be refused until another node decides. It returns false if the engine counts as without that
 // model anyway.
-func (v *View) Refute(pool, engine, model string) bool {
+func (v *View) MarkNotLoaded(pool, engine, model string) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	key := pool + "/" + engine
@@ -92,8 +92,8 @@
 	return true
 }
 
-// Refuted lists the engines of a pool that were taken out of use so, and have no new record yet.
-func (v *View) Refuted(pool string) []string {
+// NotLoaded lists the engines of a pool that were taken out of use so, and have no new record yet.
+func (v *View) NotLoaded(pool string) []string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.forgiveRefuted(time.Now())
--- a/internal/transport/detour.go
+++ b/internal/transport/detour.go
@@ -63,8 +63,8 @@
 	return relaysAnswer{Addresses: addresses[:min(max(request.Count, 0), len(addresses), relaysKept)]}, nil
 }
 
-// KeepRelays asks peers for relays until the context ends. Those that are known stay if nobody answers.
-func (t *Transport) KeepRelays(ctx context.Context, peers func() []string) {
+// RefreshRelays asks peers for relays until the context ends. Those that are known stay if nobody answers.
+func (t *Transport) RefreshRelays(ctx context.Context, peers func() []string) {
 	for {
 		known := t.askForRelays(ctx, peers())
 		wait := relaysInterval
@@ -95,11 +95,11 @@
 	return false
 }
 
-// CallAround is Call, and sends the request through other nodes as well if nothing at all comes from the peer for the time
+// CallWithRelays is Call, and sends the request through other nodes as well if nothing at all comes from the peer for the time
 // of patience, or it can't be reached; at once if that was so the last time. The request may reach the peer more than
 // once. Without it, gateways that were cut off from all replicas refused turns for as long as the cut took: with a third of 83
 // gateways cut off for 12 s, 487 tries of callers.
-func CallAround[Response any](ctx context.Context, t *Transport, address, kind string, request any, patience time.Duration) (Response, error) {
+func CallWithRelays[Response any](ctx context.Context, t *Transport, address, kind string, request any, patience time.Duration) (Response, error) {
 	var response Response
 	payload, err := json.Marshal(request)
 	if err != nil {
--- a/internal/transport/detour_test.go
+++ b/internal/transport/detour_test.go
@@ -80,7 +80,7 @@
 	site.client, _ = serve(t, Options{Cluster: "c", NodeID: "client", Dial: site.ways.dial, Relays: true})
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	go site.client.KeepRelays(ctx, func() []string { return []string{site.server} })
+	go site.client.RefreshRelays(ctx, func() []string { return []string{site.server} })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if relays, _ := site.client.detours.waysTo(site.server); len(relays) != len(site.relays) {
 			return poll.Continue("relays %v", relays)
@@ -94,7 +94,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	return CallAround[echo](ctx, s.client, s.server, kind, echo{"hello"}, testPatience)
+	return CallWithRelays[echo](ctx, s.client, s.server, kind, echo{"hello"}, testPatience)
 }
 
 // isBroken tells whether the client takes the direct way for broken.
@@ -138,7 +138,7 @@
 	site.ways.set(site.relays[1], true)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	_, err = CallAround[echo](ctx, site.client, site.server, "echo", echo{}, testPatience)
+	_, err = CallWithRelays[echo](ctx, site.client, site.server, "echo", echo{}, testPatience)
 	assert.Assert(t, apierr.Is(err, apierr.PeerUnreachable), "%v", err)
 }
 
@@ -165,7 +165,7 @@
 			_, _ = Call[echo](ctx, site.client, address, "echo", echo{})
 		}
 	}()
-	_, err := CallAround[echo](ctx, site.client, address, "slow", echo{}, testPatience)
+	_, err := CallWithRelays[echo](ctx, site.client, address, "slow", echo{}, testPatience)
 	assert.NilError(t, err)
 	mutex.Lock()
 	defer mutex.Unlock()
--- a/internal/transport/renew.go
+++ b/internal/transport/renew.go
@@ -12,13 +12,13 @@
 	renewGrace    = time.Second
 )
 
-// Renew dials a peer from which nothing has come for the length of silence, although a connection is open, and
+// Redial dials a peer from which nothing has come for the length of silence, although a connection is open, and
 // uses the new connection from then on. A peer that lost its power says nothing on old connections when it is
 // back, until they are noticed to be dead; a new one reaches it at once. The old one stays open for a moment,
 // for the peer may just be slow; and it is dialled once a second at most, so that a peer with too much to do
-// isn't given connections on top. Renew reports whether the way to the peer is newer than a question that was
+// isn't given connections on top. Redial reports whether the way to the peer is newer than a question that was
 // sent at the time given, so that it is worth asking again.
-func (t *Transport) Renew(ctx context.Context, address string, silence time.Duration, sentAt time.Time) bool {
+func (t *Transport) Redial(ctx context.Context, address string, silence time.Duration, sentAt time.Time) bool {
 	attempt, renewed := t.renewal(address, silence, sentAt)
 	if attempt == nil {
 		return renewed
--- a/internal/transport/renew_test.go
+++ b/internal/transport/renew_test.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
 	for ctx.Err() == nil {
-		network.Renew(ctx, "peer", time.Millisecond, time.Now())
+		network.Redial(ctx, "peer", time.Millisecond, time.Now())
 	}
 	assert.Assert(t, dials.Load() >= 2 && dials.Load() <= 4, "%d dials in 2.5 s", dials.Load())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/turnstore/ask.go
+++ b/internal/turnstore/ask.go
@@ -34,7 +34,7 @@
 	replies := make(chan reply, mostAsks)
 	renewed := make(chan struct{}, mostAsks)
 	send := func() {
-		response, err := transport.CallAround[Response](ctx, network, address, kind, request, askAroundAfter)
+		response, err := transport.CallWithRelays[Response](ctx, network, address, kind, request, askAroundAfter)
 		replies <- reply{response, err}
 	}
 	wait := askAgainAfter
@@ -64,7 +64,7 @@
 		case <-again.C:
 			before := sentAt
 			go func() {
-				if network.Renew(ctx, address, askAgainAfter, before) {
+				if network.Redial(ctx, address, askAgainAfter, before) {
 					renewed <- struct{}{}
 				}
 			}()
--- a/internal/turnstore/reach_test.go
+++ b/internal/turnstore/reach_test.go
@@ -73,7 +73,7 @@
 	c.store.listen(client.ApplySet)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go network.KeepRelays(ctx, func() []string { return []string{c.machines[0].address, c.machines[1].address} })
+	go network.RefreshRelays(ctx, func() []string { return []string{c.machines[0].address, c.machines[1].address} })
 	eventually(t, "it opens turns before the cut", func() bool { return c.reserve(client, "before", 1000, 1) == nil })
 	eventually(t, "it knows the relay", func() bool { return network.Relays() == 1 })
 
