--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -15,88 +15,87 @@
 	"github.com/mountstile/mountstile/internal/events"
 )
 
-// errConnectionClosed means that the connection ended before the answer came.
+// errConnectionClosed means that the connection was closed before the reply arrived.
 var errConnectionClosed = &connectionClosed{}
 
 type connectionClosed struct{}
 
 // Error implements error.
-func (*connectionClosed) Error() string { return "the connection was closed" }
+func (*connectionClosed) Error() string { return "connection closed" }
 
 type outgoingLine struct {
 	kind string
 	line []byte
 }
 
-// connection is one TCP connection; it carries requests, answers and one-way messages both ways.
+// connection is one TCP connection. It carries requests, replies and one-way messages in both directions.
 type connection struct {
 	transport *Transport
 	raw       net.Conn
 	reader    *bufio.Reader
 	peer      Peer
-	// relays tells that the peer has said that it passes requests on.
-	relays  bool
-	queue   chan outgoingLine
-	running chan struct{}
-	done    chan struct{}
-	once    sync.Once
-	// heardAt is when something came last, in nanoseconds since the transport's process began to count; it
-	// begins with the connection.
-	heardAt  atomic.Int64
-	openedAt time.Time
+	// canRelay is true if the peer's hello says that it forwards requests for other nodes.
+	canRelay     bool
+	queue        chan outgoingLine
+	handlerSlots chan struct{}
+	done         chan struct{}
+	closeOnce    sync.Once
+	// lastReceived is when the last line arrived, in nanoseconds since processStart; initially the time at
+	// which the connection was created.
+	lastReceived atomic.Int64
+	openedAt     time.Time
 
 	mutex sync.Mutex
-	// waiting are the requests whose answers are to come.
-	waiting map[uint64]*pendingRequest
-	// serving are the peer's requests that run here; their answers are not queued yet.
+	// pending holds the requests sent to the peer that have no reply yet.
+	pending map[uint64]*pendingRequest
+	// serving holds the IDs of the peer's requests whose replies are not queued yet.
 	serving map[uint64]bool
-	// askedAt is when the oldest unanswered liveness question was sent; zero if there is none.
-	askedAt time.Time
+	// probeSentAt is when the oldest unanswered liveness probe was sent; zero if there is none.
+	probeSentAt time.Time
 }
 
-// pendingRequest is a request of ours. Once it is queued, the peer must either run it or have
-// answered it: lines arrive in order.
+// pendingRequest is a request sent by this node. Lines arrive in order, so a peer that received a probe after
+// the queued request must be running it or have replied to it.
 type pendingRequest struct {
-	answers chan frame
+	replies chan frame
 	queued  bool
 }
 
-// processStart is where heardAt counts from.
+// processStart is the origin of connection.lastReceived.
 var processStart = time.Now()
 
 func newConnection(t *Transport, raw net.Conn, peer Peer) *connection {
 	created := &connection{
-		transport: t,
-		raw:       raw,
-		reader:    bufio.NewReaderSize(raw, readerBytes),
-		peer:      peer,
-		queue:     make(chan outgoingLine, queueFrames),
-		running:   make(chan struct{}, maxConcurrent),
-		done:      make(chan struct{}),
-		waiting:   make(map[uint64]*pendingRequest),
-		serving:   make(map[uint64]bool),
+		transport:    t,
+		raw:          raw,
+		reader:       bufio.NewReaderSize(raw, bufferBytes),
+		peer:         peer,
+		queue:        make(chan outgoingLine, maxQueuedLines),
+		handlerSlots: make(chan struct{}, maxConcurrentHandlers),
+		done:         make(chan struct{}),
+		pending:      make(map[uint64]*pendingRequest),
+		serving:      make(map[uint64]bool),
 	}
 	created.openedAt = time.Now()
-	created.hear()
+	created.markReceived()
 	return created
 }
 
-// hear notes that something came.
-func (c *connection) hear() { c.heardAt.Store(int64(time.Since(processStart))) }
+func (c *connection) markReceived() { c.lastReceived.Store(int64(time.Since(processStart))) }
 
-// silentFor is how long nothing has come.
-func (c *connection) silentFor(now time.Time) time.Duration {
-	return now.Sub(processStart) - time.Duration(c.heardAt.Load())
+// sinceLastReceived returns the time since the last line arrived.
+func (c *connection) sinceLastReceived(now time.Time) time.Duration {
+	return now.Sub(processStart) - time.Duration(c.lastReceived.Load())
 }
 
-// start runs reader and writer; register has counted both.
+// start runs the reader and the writer, which register has already added to the transport's tasks.
 func (c *connection) start() {
 	go c.readLoop()
 	go c.writeLoop()
 }
 
 func (c *connection) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.raw.Close()
 		c.transport.unregister(c)
@@ -110,35 +109,35 @@
 	}
 	decoded, err := decodeFrame(line)
 	if err != nil || decoded.Kind != helloKind {
-		return hello{}, apierr.New(apierr.InvalidRequest, apierr.NotRun, "the first line is no hello")
+		return hello{}, apierr.New(apierr.InvalidRequest, apierr.NotRun, "the first line is not a hello")
 	}
-	var greeting hello
-	if err := json.Unmarshal(decoded.Payload, &greeting); err != nil {
+	var peerHello hello
+	if err := json.Unmarshal(decoded.Payload, &peerHello); err != nil {
 		return hello{}, errors.Wrap(err, "decoding the hello")
 	}
-	return greeting, nil
+	return peerHello, nil
 }
 
-func (c *connection) expect(id uint64) chan frame {
-	answers := make(chan frame, 1)
+func (c *connection) addPending(id uint64) chan frame {
+	replies := make(chan frame, 1)
 	c.mutex.Lock()
-	c.waiting[id] = &pendingRequest{answers: answers}
+	c.pending[id] = &pendingRequest{replies: replies}
 	c.mutex.Unlock()
-	return answers
+	return replies
 }
 
-// markQueued notes that a request's line is in the queue.
+// markQueued records that a request's line is in the write queue, so that probes may list it.
 func (c *connection) markQueued(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if request := c.waiting[id]; request != nil {
+	if request := c.pending[id]; request != nil {
 		request.queued = true
 	}
 }
 
-func (c *connection) forget(id uint64) {
+func (c *connection) removePending(id uint64) {
 	c.mutex.Lock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 	c.mutex.Unlock()
 }
 
@@ -178,11 +177,11 @@
 	}
 }
 
-// writeLoop batches what is queued into one write.
+// writeLoop writes queued lines and flushes when the queue is empty.
 func (c *connection) writeLoop() {
 	defer c.transport.tasks.Done()
 	defer c.close()
-	writer := bufio.NewWriterSize(c.raw, readerBytes)
+	writer := bufio.NewWriterSize(c.raw, bufferBytes)
 	for {
 		select {
 		case line := <-c.queue:
@@ -220,7 +219,7 @@
 			c.reportReadError(err)
 			return
 		}
-		c.hear()
+		c.markReceived()
 		incoming, err := decodeFrame(line)
 		if err != nil {
 			c.transport.options.Logger.Emit(events.PeerRejected, events.F("peer", c.peer.Address), events.F("error", err))
@@ -240,39 +239,39 @@
 
 func (c *connection) dispatch(incoming frame) {
 	switch {
-	case incoming.Kind == aliveKind:
-		c.handleAlive(incoming)
+	case incoming.Kind == livenessKind:
+		c.handleLiveness(incoming)
 	case incoming.Reply:
-		c.deliver(incoming)
+		c.deliverReply(incoming)
 	case incoming.ID == 0:
 		if handler := c.transport.oneWay[incoming.Kind]; handler != nil {
 			handler(c.peer, incoming.Payload)
 		}
 	default:
-		c.answer(incoming)
+		c.serveRequest(incoming)
 	}
 }
 
-func (c *connection) deliver(incoming frame) {
+func (c *connection) deliverReply(incoming frame) {
 	c.mutex.Lock()
-	request := c.waiting[incoming.ID]
-	delete(c.waiting, incoming.ID)
+	request := c.pending[incoming.ID]
+	delete(c.pending, incoming.ID)
 	c.mutex.Unlock()
 	if request != nil {
-		request.answers <- incoming
+		request.replies <- incoming
 	}
 }
 
-// answer runs a request's handler; the reader waits while too many run.
-func (c *connection) answer(incoming frame) {
+// serveRequest runs a request's handler in a task. It blocks the reader while maxConcurrentHandlers are running.
+func (c *connection) serveRequest(incoming frame) {
 	select {
-	case c.running <- struct{}{}:
+	case c.handlerSlots <- struct{}{}:
 	case <-c.done:
 		return
 	}
 	c.setServing(incoming.ID, true)
 	c.transport.spawn(func() {
-		defer func() { <-c.running }()
+		defer func() { <-c.handlerSlots }()
 		defer c.setServing(incoming.ID, false)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -283,11 +282,11 @@
 			case <-ctx.Done():
 			}
 		}()
-		_ = c.enqueue(ctx, c.run(ctx, incoming))
+		_ = c.enqueue(ctx, c.runHandler(ctx, incoming))
 	})
 }
 
-func (c *connection) run(ctx context.Context, incoming frame) frame {
+func (c *connection) runHandler(ctx context.Context, incoming frame) frame {
 	reply := frame{Kind: incoming.Kind, ID: incoming.ID, Reply: true}
 	handler := c.transport.handlers[incoming.Kind]
 	if handler == nil {
@@ -301,7 +300,7 @@
 	}
 	reply.Payload, err = json.Marshal(response)
 	if err != nil {
-		reply.Error = apierr.New(apierr.Internal, apierr.OutcomeUnknown, "encoding the answer: %s", err)
+		reply.Error = apierr.New(apierr.Internal, apierr.OutcomeUnknown, "encoding the response: %s", err)
 	}
 	return reply
 }
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -1,5 +1,5 @@
 // Package transport carries JSON lines between nodes over long-lived TCP connections, with mutual
-// TLS when it is given certificates. It knows nothing of what the messages mean.
+// TLS if certificates are configured. It does not interpret the payload of messages.
 package transport
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/mountstile/mountstile/internal/apierr"
 )
 
-// frame is one line. A frame with an ID asks for, or is, a reply; one without is one-way.
+// frame is one line. A frame with an ID is a request or the reply to it; a frame without one is a one-way message.
 type frame struct {
 	Kind    string          `json:"k,omitempty"`
 	ID      uint64          `json:"i,omitempty"`
@@ -25,28 +25,28 @@
 type hello struct {
 	Cluster string `json:"cluster"`
 	NodeID  string `json:"node"`
-	// Address is where the dialling node can be reached.
+	// Address is where other nodes can dial the sender.
 	Address string `json:"address"`
-	// Relays tells that the dialling node passes requests on for others.
+	// Relays is true if the sender forwards requests for other nodes.
 	Relays bool `json:"relays,omitempty"`
 }
 
 const (
 	helloKind = "hello"
-	// MaxLineBytes bounds one line; the history of 160,000 tokens is about 1 MB of JSON.
+	// MaxLineBytes bounds one line. It leaves ample room for the longest conversation history.
 	MaxLineBytes = 16 << 20
-	// maxHelloBytes bounds what an unknown peer can make us hold.
+	// maxHelloBytes bounds the memory that an unauthenticated peer can occupy.
 	maxHelloBytes = 4 << 10
-	readerBytes   = 4 << 10
+	bufferBytes   = 4 << 10
 )
 
-// ErrLineTooLong means that a peer sent a line over the limit.
+// ErrLineTooLong means that a peer sent a line of more than Limit bytes.
 type ErrLineTooLong struct{ Limit int }
 
 // Error implements error.
-func (e *ErrLineTooLong) Error() string { return "line over the limit between nodes" }
+func (e *ErrLineTooLong) Error() string { return "line from a node exceeds the size limit" }
 
-// readLine returns the next line without its end. It never holds more than limit bytes.
+// readLine returns the next line, including its newline. It buffers no more than limit bytes.
 func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
--- a/internal/transport/lost_test.go
+++ b/internal/transport/liveness_test.go
@@ -11,14 +11,14 @@
 	"github.com/mountstile/mountstile/internal/apierr"
 )
 
-// lossyConn loses the lines that contain a text, on a connection that goes on working: as behind a
-// proxy that was cut for a moment and kept both ends open.
+// lossyConn drops lines that contain a given text and passes all others, like a proxy that lost data but kept both
+// connections open.
 type lossyConn struct {
 	net.Conn
-	loseWritten, loseRead []byte
+	dropWritten, dropRead []byte
 }
 
-func without(data, text []byte) []byte {
+func removeLines(data, text []byte) []byte {
 	if len(text) == 0 {
 		return data
 	}
@@ -32,25 +32,25 @@
 }
 
 func (c *lossyConn) Write(data []byte) (int, error) {
-	_, err := c.Conn.Write(without(data, c.loseWritten))
+	_, err := c.Conn.Write(removeLines(data, c.dropWritten))
 	return len(data), err
 }
 
 func (c *lossyConn) Read(buffer []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(buffer)
-		kept := without(bytes.Clone(buffer[:count]), c.loseRead)
+		kept := removeLines(bytes.Clone(buffer[:count]), c.dropRead)
 		if err != nil || len(kept) > 0 {
 			return copy(buffer, kept), err
 		}
 	}
 }
 
-// TestLostLinesAreNoticed: a request whose line or whose answer was lost on a connection that works
-// otherwise ends with a failure, instead of waiting for ever. One that still runs is left alone.
-func TestLostLinesAreNoticed(t *testing.T) {
+// If a request or its reply is lost on a connection that otherwise works, the call fails instead of waiting forever.
+// A request that is still running is not affected.
+func TestLostLinesFailPendingRequests(t *testing.T) {
 	marker := []byte("lose this line")
-	for name, lossy := range map[string]*lossyConn{"request": {loseWritten: marker}, "answer": {loseRead: marker}} {
+	for name, lossy := range map[string]*lossyConn{"request": {dropWritten: marker}, "reply": {dropRead: marker}} {
 		t.Run(name, func(t *testing.T) {
 			server, address := serve(t, Options{Cluster: "c", NodeID: "a"})
 			release, entered := make(chan struct{}), make(chan struct{})
@@ -74,7 +74,7 @@
 			assert.Assert(t, apierr.Is(err, apierr.PeerUnreachable), "%v", err)
 			assert.Equal(t, apierr.From(err, apierr.Ran).Outcome, apierr.OutcomeUnknown)
 			close(release)
-			assert.NilError(t, <-running, "a request that still runs is not given up")
+			assert.NilError(t, <-running, "a request that was still running failed")
 		})
 	}
 }
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -11,7 +11,7 @@
 		"One-way messages that met a full queue.", nil, nil)
 )
 
-// The directions of messages.
+// Values of the direction label.
 const (
 	sentDirection     = "sent"
 	receivedDirection = "received"
--- a/internal/transport/metrics_test.go
+++ b/internal/transport/metrics_test.go
@@ -27,7 +27,7 @@
 			found[family.GetName()+" "+strings.Join(labels, " ")] = metric.GetCounter().GetValue()
 		}
 	}
-	// Labels are in the order of their names: direction, kind.
+	// Gather sorts labels by name: direction, kind.
 	assert.Equal(t, found["mountstile_peer_bytes_total sent echo"], 12.0, "%v", found)
 	assert.Equal(t, found["mountstile_peer_messages_total sent echo"], 2.0)
 	assert.Equal(t, found["mountstile_peer_messages_total received echo"], 0.0)
--- a/internal/transport/renew_test.go
+++ b/internal/transport/redial_test.go
@@ -13,8 +13,8 @@
 	"github.com/mountstile/mountstile/internal/events"
 )
 
-// A silent peer is dialled again once a second at most, however many ask for it, and old connections end.
-func TestSilentPeerIsNotGivenMoreAndMoreConnections(t *testing.T) {
+// Frequent calls of Redial to a silent peer dial at most once per redialInterval, and replaced connections are closed.
+func TestRedialsAreRateLimited(t *testing.T) {
 	t.Parallel()
 	var dials atomic.Int64
 	dial := func(context.Context, string) (net.Conn, error) {
@@ -40,11 +40,11 @@
 	for ctx.Err() == nil {
 		network.Redial(ctx, "peer", time.Millisecond, time.Now())
 	}
-	assert.Assert(t, dials.Load() >= 2 && dials.Load() <= 4, "%d dials in 2.5 s", dials.Load())
+	assert.Assert(t, dials.Load() >= 2 && dials.Load() <= 4, "%d dials in 2.5 s, want 2 to 4", dials.Load())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if network.Connections() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("%d connections are open", network.Connections())
+		return poll.Continue("%d open connections, want 1", network.Connections())
 	}, poll.WithTimeout(10*time.Second))
 }
--- /dev/null
+++ b/internal/transport/relay_client.go
@@ -0,0 +1,322 @@
+package transport
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/mountstile/mountstile/internal/apierr"
+	"github.com/mountstile/mountstile/internal/events"
+)
+
+// A node that can't reach a peer directly sends its requests through a relay: another node that can. It learns the
+// addresses of relays in advance, since it may not be able to fetch them during a network partition.
+
+const (
+	relaysKind = "relays"
+	// maxRelays is how many relays a node keeps, enough that a partial partition is unlikely to cut off all of them.
+	maxRelays = 8
+	// relayRefreshInterval is how often the list of relays is refreshed, as nodes come and go.
+	relayRefreshInterval = 5 * time.Second
+	relayRefreshTimeout  = time.Second
+	// initialRelays is how many relays are tried in parallel while none is known to work.
+	initialRelays = 2
+	// minRelayDelay is the minimum time before the next relay is tried. It covers opening a connection and a relayed
+	// request over slow links.
+	minRelayDelay = 250 * time.Millisecond
+)
+
+type relaysRequest struct {
+	Count int `json:"n"`
+}
+
+type relaysResponse struct {
+	Addresses []string `json:"a,omitempty"`
+}
+
+// relayRoutes holds the known relays and the peers that are reached through them.
+type relayRoutes struct {
+	mutex  sync.Mutex
+	relays []string
+	// preferred is the relay that last delivered a reply; empty if it has failed since.
+	preferred string
+	// viaRelay holds the peers that were last reached through a relay rather than directly.
+	viaRelay map[string]bool
+}
+
+// listRelays returns a random selection of the connected peers that forward requests.
+func (t *Transport) listRelays(_ context.Context, from Peer, request relaysRequest) (relaysResponse, error) {
+	t.mutex.Lock()
+	var addresses []string
+	for conn := range t.open {
+		if peer := conn.peer; conn.canRelay && peer.Address != from.Address && !slices.Contains(addresses, peer.Address) {
+			addresses = append(addresses, peer.Address)
+		}
+	}
+	t.mutex.Unlock()
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	return relaysResponse{Addresses: addresses[:min(max(request.Count, 0), len(addresses), maxRelays)]}, nil
+}
+
+// RefreshRelays fetches the list of relays from peers at intervals until the context ends. The previous list is kept
+// if no peer returns one.
+func (t *Transport) RefreshRelays(ctx context.Context, peers func() []string) {
+	for {
+		found := t.fetchRelays(ctx, peers())
+		wait := relayRefreshInterval
+		if !found {
+			wait = relayRefreshTimeout
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(wait):
+		}
+	}
+}
+
+// fetchRelays tries the peers in order until one returns relays, and reports whether one did.
+func (t *Transport) fetchRelays(ctx context.Context, peers []string) bool {
+	for _, address := range peers {
+		fetchContext, cancel := context.WithTimeout(ctx, relayRefreshTimeout)
+		result, err := Call[relaysResponse](fetchContext, t, address, relaysKind, relaysRequest{Count: maxRelays})
+		cancel()
+		if err == nil && len(result.Addresses) > 0 {
+			t.relayRoutes.mutex.Lock()
+			t.relayRoutes.relays = result.Addresses
+			t.relayRoutes.mutex.Unlock()
+			return true
+		}
+	}
+	return false
+}
+
+// CallWithRelays is like Call, but also sends the request through relays if the peer can't be reached or nothing
+// arrives from it for relayDelay; immediately if the peer was last reached through a relay. The request may reach
+// the peer more than once.
+func CallWithRelays[Response any](ctx context.Context, t *Transport, address, kind string, request any, relayDelay time.Duration) (Response, error) {
+	var response Response
+	payload, err := json.Marshal(request)
+	if err != nil {
+		return response, errors.Wrapf(err, "encoding %s", kind)
+	}
+	result, err := t.callWithRelays(ctx, address, kind, payload, relayDelay)
+	if err != nil {
+		return response, err
+	}
+	if err := json.Unmarshal(result, &response); err != nil {
+		return response, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "decoding the response to %s: %s", kind, err)
+	}
+	return response, nil
+}
+
+// routeResult is the result of a request over one route.
+type routeResult struct {
+	// relay is empty for the direct route.
+	relay   string
+	payload json.RawMessage
+	err     error
+}
+
+// fromPeer reports whether the result, which may be an error, was returned by the peer itself.
+func (r routeResult) fromPeer() bool {
+	return r.err == nil || (!apierr.Is(r.err, apierr.PeerUnreachable) && !apierr.Is(r.err, apierr.RelayFailed))
+}
+
+func (t *Transport) callWithRelays(ctx context.Context, address, kind string, payload json.RawMessage, relayDelay time.Duration) (json.RawMessage, error) {
+	relays, viaRelay := t.relayRoutes.routesTo(address)
+	if len(relays) == 0 {
+		return t.call(ctx, address, kind, payload)
+	}
+	callContext, stop := context.WithCancel(ctx)
+	defer stop()
+	relayed := &relayedCall{
+		transport: t, ctx: callContext, address: address, kind: kind, payload: payload, relays: relays,
+		startedAt: time.Now(), results: make(chan routeResult, len(relays)+1),
+	}
+	relayed.sendDirect()
+	if viaRelay {
+		relayed.startRelays()
+	}
+	return relayed.wait(relayDelay)
+}
+
+// relayedCall is one request that may be sent over several routes at once.
+type relayedCall struct {
+	transport *Transport
+	ctx       context.Context
+	address   string
+	kind      string
+	payload   json.RawMessage
+	startedAt time.Time
+	// relays holds those that have not been tried yet; usingRelays is true once relays are in use.
+	relays      []string
+	usingRelays bool
+	// results has room for one result per route, so that senders never block; pending counts those outstanding.
+	results chan routeResult
+	pending int
+}
+
+// wait returns the first result from the peer, or the last error once all routes have failed.
+func (c *relayedCall) wait(relayDelay time.Duration) (json.RawMessage, error) {
+	timer := time.NewTimer(relayDelay)
+	defer timer.Stop()
+	var last error
+	for c.pending > 0 {
+		select {
+		case result := <-c.results:
+			c.pending--
+			if result.fromPeer() {
+				c.transport.recordRoute(c.address, result.relay, c.kind)
+				return result.payload, result.err
+			}
+			last = result.err
+			c.handleFailure(result)
+		case <-timer.C:
+			c.handleDelay()
+			timer.Reset(max(relayDelay, minRelayDelay))
+		case <-c.ctx.Done():
+			return nil, unreachable(c.address, apierr.OutcomeUnknown, c.ctx.Err())
+		}
+	}
+	if c.usingRelays {
+		return nil, unreachable(c.address, apierr.OutcomeUnknown, last)
+	}
+	return nil, last
+}
+
+// handleFailure tries the next route after one has failed.
+func (c *relayedCall) handleFailure(result routeResult) {
+	switch {
+	case result.relay != "":
+		c.transport.relayRoutes.handleFailure(result.relay)
+		c.sendViaNextRelay()
+	case !c.usingRelays:
+		c.startRelays()
+	}
+}
+
+// handleDelay tries relays if there was no result within the delay. A peer from which anything has arrived since the
+// request was sent is reachable and only slow, so it is not sent the request again.
+func (c *relayedCall) handleDelay() {
+	switch {
+	case c.usingRelays:
+		c.sendViaNextRelay()
+	case c.transport.silentSince(c.address, c.startedAt):
+		c.startRelays()
+	}
+}
+
+func (c *relayedCall) startRelays() {
+	c.usingRelays = true
+	for range c.transport.relayRoutes.parallelRelays() {
+		c.sendViaNextRelay()
+	}
+}
+
+func (c *relayedCall) sendDirect() {
+	c.pending++
+	go func() {
+		result, err := c.transport.call(c.ctx, c.address, c.kind, c.payload)
+		c.results <- routeResult{payload: result, err: err}
+	}()
+}
+
+// sendViaNextRelay sends the request through the next untried relay, if any.
+func (c *relayedCall) sendViaNextRelay() {
+	if len(c.relays) == 0 {
+		return
+	}
+	relay := c.relays[0]
+	c.relays = c.relays[1:]
+	c.pending++
+	go func() { c.results <- c.transport.callViaRelay(c.ctx, relay, c.address, c.kind, c.payload) }()
+}
+
+// callViaRelay sends a request through a relay and passes the remaining time on.
+func (t *Transport) callViaRelay(ctx context.Context, relay, address, kind string, payload json.RawMessage) routeResult {
+	request := relayRequest{Address: address, Kind: kind, Payload: payload}
+	if deadline, limited := ctx.Deadline(); limited {
+		request.TimeoutMillis = max(time.Until(deadline).Milliseconds(), 1)
+	}
+	result, err := Call[json.RawMessage](ctx, t, relay, relayKind, request)
+	return routeResult{relay: relay, payload: result, err: err}
+}
+
+// silentSince reports whether nothing at all has arrived from a peer since the given time.
+func (t *Transport) silentSince(address string, since time.Time) bool {
+	conn := t.connectionTo(address)
+	return conn == nil || conn.sinceLastReceived(time.Now()) >= time.Since(since)
+}
+
+// recordRoute records the route over which a peer was reached and logs a change between direct and relayed.
+func (t *Transport) recordRoute(address, relay, kind string) {
+	if t.relayRoutes.record(address, relay) {
+		t.options.Logger.Emit(events.PeerWayChanged, events.F("peer", address), events.F("relay", relay), events.F("kind", kind))
+	}
+}
+
+// routesTo returns the relays in the order in which to try them, and whether the peer was last reached through one.
+func (r *relayRoutes) routesTo(address string) (relays []string, viaRelay bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for _, relay := range r.relays {
+		switch relay {
+		case address:
+		case r.preferred:
+			relays = slices.Insert(relays, 0, relay)
+		default:
+			relays = append(relays, relay)
+		}
+	}
+	return relays, r.viaRelay[address]
+}
+
+// parallelRelays returns how many relays to try in parallel.
+func (r *relayRoutes) parallelRelays() int {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.preferred != "" {
+		return 1
+	}
+	return initialRelays
+}
+
+func (r *relayRoutes) handleFailure(relay string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.preferred == relay {
+		r.preferred = ""
+	}
+}
+
+// record stores the relay over which a peer was reached, empty for the direct route, and reports whether the route
+// changed between direct and relayed.
+func (r *relayRoutes) record(address, relay string) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if relay == "" {
+		changed := r.viaRelay[address]
+		delete(r.viaRelay, address)
+		return changed
+	}
+	r.preferred = relay
+	changed := !r.viaRelay[address]
+	if r.viaRelay == nil {
+		r.viaRelay = make(map[string]bool)
+	}
+	r.viaRelay[address] = true
+	return changed
+}
+
+// Relays returns the number of known relays.
+func (t *Transport) Relays() int {
+	t.relayRoutes.mutex.Lock()
+	defer t.relayRoutes.mutex.Unlock()
+	return len(t.relayRoutes.relays)
+}
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// KindTraffic counts what was sent and received of one message kind.
+// KindTraffic holds the message and byte counts of one message kind.
 type KindTraffic struct {
 	SentMessages     int64 `json:"sent_messages"`
 	SentBytes        int64 `json:"sent_bytes"`
@@ -19,7 +19,7 @@
 
 // Traffic counts messages and payload bytes by kind; TLS and TCP overhead is not included.
 type Traffic struct {
-	kinds   sync.Map // of string to *kindCounters
+	kinds   sync.Map // message kind (string) to *kindCounters
 	dropped atomic.Int64
 }
 
@@ -47,10 +47,10 @@
 
 func (t *Traffic) countDropped() { t.dropped.Add(1) }
 
-// Dropped returns how many one-way messages met a full queue.
+// Dropped returns the number of messages dropped because the connection's queue was full.
 func (t *Traffic) Dropped() int64 { return t.dropped.Load() }
 
-// ByKind returns a copy of the counters.
+// ByKind returns a snapshot of the counters, keyed by message kind.
 func (t *Traffic) ByKind() map[string]KindTraffic {
 	result := make(map[string]KindTraffic)
 	t.kinds.Range(func(key, value any) bool {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -15,16 +15,16 @@
 	"github.com/mountstile/mountstile/internal/events"
 )
 
-// Peer names the other end of a connection.
+// Peer identifies the other end of a connection.
 type Peer struct {
 	NodeID  string
 	Address string
 }
 
-// Handler answers a request of a peer.
+// Handler serves a peer's request; its result is sent back as JSON.
 type Handler func(ctx context.Context, from Peer, payload json.RawMessage) (any, error)
 
-// OneWayHandler takes a message that has no answer. It runs on the connection's reader and must
+// OneWayHandler handles a message that has no reply. It runs on the connection's reader goroutine and must
 // not block.
 type OneWayHandler func(from Peer, payload json.RawMessage)
 
@@ -34,13 +34,13 @@
 	NodeID  string
 	// Address is what other nodes dial to reach this one.
 	Address string
-	// ServerTLS and ClientTLS switch mutual TLS on; nil means plain TCP.
+	// ServerTLS and ClientTLS enable mutual TLS; nil means plain TCP.
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
 	Logger    *events.Logger
-	// Relays tells that this node passes requests on for others that are cut off from a peer.
+	// Relays announces to peers that this node forwards requests for nodes that can't reach a peer directly.
 	Relays bool
-	// Dial replaces the dialler, for tests.
+	// Dial replaces the TCP dialler if it is set.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -48,17 +48,17 @@
 	dialTimeout  = 2 * time.Second
 	helloTimeout = 5 * time.Second
 	writeTimeout = 10 * time.Second
-	// idleTimeout closes a connection on which nothing arrived for so long.
+	// idleTimeout is how long a connection may go without receiving a line before it is closed.
 	idleTimeout = 2 * time.Minute
-	// aliveInterval is how often connections with unanswered requests are asked for a sign of life;
-	// aliveTimeout is how long it may take.
-	aliveInterval = time.Second
-	aliveTimeout  = 2 * time.Second
-	aliveKind     = "alive"
-	// queueFrames is how many lines may wait to be written. Each connection holds room for them, and a replica
-	// has connections to all gateways.
-	queueFrames   = 256
-	maxConcurrent = 512
+	// livenessInterval is how often connections with pending requests are probed; livenessTimeout is how long the
+	// reply may take.
+	livenessInterval = time.Second
+	livenessTimeout  = 2 * time.Second
+	livenessKind     = "alive"
+	// maxQueuedLines bounds the write queue. Each connection allocates it, and a replica has connections to all
+	// gateways.
+	maxQueuedLines        = 256
+	maxConcurrentHandlers = 512
 )
 
 // Transport sends and receives messages between nodes. All methods may be called concurrently.
@@ -72,27 +72,27 @@
 	peers    map[string]*connection
 	open     map[*connection]struct{}
 	dialling map[string]*dialAttempt
-	// renewedAt is when a peer was last dialled although a connection was open.
-	renewedAt map[string]time.Time
-	listener  net.Listener
-	closed    bool
-	stopped   chan struct{}
-	// disconnected hears of each connection that ended.
+	// redialledAt is when Redial last dialled each address.
+	redialledAt map[string]time.Time
+	listener    net.Listener
+	closed      bool
+	stopped     chan struct{}
+	// disconnected is called when the last connection to a peer has closed; it may be nil.
 	disconnected func(Peer)
 	tasks        sync.WaitGroup
 	nextID       atomic.Uint64
-	detours      detours
+	relayRoutes  relayRoutes
 }
 
 type dialAttempt struct {
-	// renews tells that the new connection is to be used in the place of one that is still open.
-	renews bool
-	done   chan struct{}
-	result *connection
-	err    error
+	// replaces is true if the new connection takes the place of one that is still open.
+	replaces bool
+	done     chan struct{}
+	result   *connection
+	err      error
 }
 
-// New returns a Transport. Register handlers before Serve.
+// New returns a Transport. All handlers must be registered before Serve is called.
 func New(options Options) *Transport {
 	created := &Transport{
 		options:  options,
@@ -103,18 +103,18 @@
 		open:     make(map[*connection]struct{}),
 		dialling: make(map[string]*dialAttempt),
 
-		renewedAt: make(map[string]time.Time),
+		redialledAt: make(map[string]time.Time),
 
 		stopped: make(chan struct{}),
 	}
-	Handle(created, relayKind, created.serveRelay)
-	Handle(created, relaysKind, created.serveRelays)
+	Handle(created, relayKind, created.forwardRequest)
+	Handle(created, relaysKind, created.listRelays)
 	return created
 }
 
-// watchConnections asks connections with unanswered requests for signs of life.
-func (t *Transport) watchConnections() {
-	ticker := time.NewTicker(aliveInterval)
+// runLivenessChecks checks all open connections once per livenessInterval.
+func (t *Transport) runLivenessChecks() {
+	ticker := time.NewTicker(livenessInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -122,7 +122,7 @@
 			return
 		case now := <-ticker.C:
 			for _, conn := range t.openConnections() {
-				conn.checkAlive(now)
+				conn.checkLiveness(now)
 			}
 		}
 	}
@@ -138,13 +138,14 @@
 	return open
 }
 
-// NodeID is the name by which peers know this node.
+// NodeID returns the ID that this node sends to its peers.
 func (t *Transport) NodeID() string { return t.options.NodeID }
 
-// Traffic returns the byte counters.
+// Traffic returns the message and byte counters.
 func (t *Transport) Traffic() *Traffic { return t.traffic }
 
-// Handle registers a typed request handler.
+// Handle registers a handler of requests of a kind, which decodes them from JSON. A request that can't be decoded
+// fails with InvalidRequest.
 func Handle[Request, Response any](t *Transport, kind string, handler func(ctx context.Context, from Peer, request Request) (Response, error)) {
 	t.handlers[kind] = func(ctx context.Context, from Peer, payload json.RawMessage) (any, error) {
 		var request Request
@@ -155,7 +156,7 @@
 	}
 }
 
-// HandleOneWay registers a typed handler of messages without answer.
+// HandleOneWay registers a handler of one-way messages of a kind. Messages that can't be decoded are dropped.
 func HandleOneWay[Message any](t *Transport, kind string, handler func(from Peer, message Message)) {
 	t.oneWay[kind] = func(from Peer, payload json.RawMessage) {
 		var message Message
@@ -165,7 +166,7 @@
 	}
 }
 
-// Call sends a request and waits for its answer. A failure to reach the peer has the code
+// Call sends a request and waits for the response. A failure to reach the peer has the code
 // PeerUnreachable; its outcome is NotRun only if nothing was sent.
 func Call[Response any](ctx context.Context, t *Transport, address, kind string, request any) (Response, error) {
 	var response Response
@@ -173,12 +174,12 @@
 	if err != nil {
 		return response, errors.Wrapf(err, "encoding %s", kind)
 	}
-	answer, err := t.call(ctx, address, kind, payload)
+	reply, err := t.call(ctx, address, kind, payload)
 	if err != nil {
 		return response, err
 	}
-	if err := json.Unmarshal(answer, &response); err != nil {
-		return response, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "decoding the answer to %s: %s", kind, err)
+	if err := json.Unmarshal(reply, &response); err != nil {
+		return response, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "decoding the response to %s: %s", kind, err)
 	}
 	return response, nil
 }
@@ -188,52 +189,52 @@
 }
 
 func (t *Transport) call(ctx context.Context, address, kind string, payload json.RawMessage) (json.RawMessage, error) {
-	peer, err := t.connect(ctx, address)
+	conn, err := t.connect(ctx, address)
 	if err != nil {
 		return nil, unreachable(address, apierr.NotRun, err)
 	}
 	id := t.nextID.Add(1)
-	answers := peer.expect(id)
-	defer peer.forget(id)
-	if err := peer.enqueue(ctx, frame{Kind: kind, ID: id, Payload: payload}); err != nil {
+	replies := conn.addPending(id)
+	defer conn.removePending(id)
+	if err := conn.enqueue(ctx, frame{Kind: kind, ID: id, Payload: payload}); err != nil {
 		return nil, unreachable(address, apierr.NotRun, err)
 	}
-	peer.markQueued(id)
+	conn.markQueued(id)
 	select {
-	case answer := <-answers:
-		if answer.Error != nil {
-			return nil, answer.Error
+	case reply := <-replies:
+		if reply.Error != nil {
+			return nil, reply.Error
 		}
-		return answer.Payload, nil
-	case <-peer.done:
+		return reply.Payload, nil
+	case <-conn.done:
 		return nil, unreachable(address, apierr.OutcomeUnknown, errConnectionClosed)
 	case <-ctx.Done():
 		return nil, unreachable(address, apierr.OutcomeUnknown, ctx.Err())
 	}
 }
 
-// Send queues a one-way message. It never blocks on the network; a message to a peer that can't
-// be reached, or whose queue is full, is dropped.
+// Send queues a one-way message without blocking. The message is dropped if the peer can't be reached or its queue
+// is full.
 func (t *Transport) Send(address, kind string, message any) {
 	payload, err := json.Marshal(message)
 	if err != nil {
 		return
 	}
 	outgoing := frame{Kind: kind, Payload: payload}
-	if peer := t.existing(address); peer != nil {
-		peer.tryEnqueue(outgoing)
+	if conn := t.connectionTo(address); conn != nil {
+		conn.tryEnqueue(outgoing)
 		return
 	}
 	t.spawn(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		defer cancel()
-		if peer, err := t.connect(ctx, address); err == nil {
-			peer.tryEnqueue(outgoing)
+		if conn, err := t.connect(ctx, address); err == nil {
+			conn.tryEnqueue(outgoing)
 		}
 	})
 }
 
-// spawn runs a task unless the transport is closed; Close waits for it.
+// spawn runs a task in a goroutine that Close waits for. It does nothing once the transport is closed.
 func (t *Transport) spawn(task func()) {
 	t.mutex.Lock()
 	if t.closed {
@@ -248,19 +249,18 @@
 	}()
 }
 
-func (t *Transport) existing(address string) *connection {
+func (t *Transport) connectionTo(address string) *connection {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.peers[address]
 }
 
-// connect returns the connection to address and dials it when there is none; concurrent callers
-// share one dial.
+// connect returns the connection to address, dialling if there is none. Concurrent callers share one dial.
 func (t *Transport) connect(ctx context.Context, address string) (*connection, error) {
 	t.mutex.Lock()
-	if peer := t.peers[address]; peer != nil {
+	if conn := t.peers[address]; conn != nil {
 		t.mutex.Unlock()
-		return peer, nil
+		return conn, nil
 	}
 	if t.closed {
 		t.mutex.Unlock()
@@ -288,10 +288,10 @@
 	defer cancel()
 	raw, err := t.dialRaw(ctx, address)
 	if err == nil {
-		old := t.existing(address)
-		attempt.result, err = t.adopt(raw, Peer{Address: address}, attempt.renews)
-		if old != nil && attempt.result != nil && attempt.renews {
-			time.AfterFunc(renewGrace, old.close)
+		old := t.connectionTo(address)
+		attempt.result, err = t.startDialled(raw, Peer{Address: address}, attempt.replaces)
+		if old != nil && attempt.result != nil && attempt.replaces {
+			time.AfterFunc(replacedConnectionGrace, old.close)
 		}
 	}
 	attempt.err = err
@@ -320,10 +320,10 @@
 	return secured, nil
 }
 
-// adopt registers a dialled connection and starts it with our hello.
-func (t *Transport) adopt(raw net.Conn, peer Peer, renews bool) (*connection, error) {
+// startDialled registers and starts a dialled connection; its first line is this node's hello.
+func (t *Transport) startDialled(raw net.Conn, peer Peer, replaces bool) (*connection, error) {
 	conn := newConnection(t, raw, peer)
-	if !t.register(conn, renews) {
+	if !t.register(conn, replaces) {
 		_ = raw.Close()
 		return nil, net.ErrClosed
 	}
@@ -336,15 +336,16 @@
 	return conn, nil
 }
 
-// register makes the connection the way to its peer, unless there is one already that it does not renew.
-func (t *Transport) register(conn *connection, renews bool) bool {
+// register adds an open connection. It becomes the connection used for its peer if there is none yet or if it
+// replaces the present one. It returns false if the transport is closed.
+func (t *Transport) register(conn *connection, replaces bool) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.closed {
 		return false
 	}
 	t.open[conn] = struct{}{}
-	if renews || t.peers[conn.peer.Address] == nil {
+	if replaces || t.peers[conn.peer.Address] == nil {
 		t.peers[conn.peer.Address] = conn
 	}
 	t.tasks.Add(2)
@@ -358,7 +359,7 @@
 		delete(t.peers, conn.peer.Address)
 	}
 	disconnected := t.disconnected
-	if t.closed || t.reaches(conn.peer.Address) {
+	if t.closed || t.hasConnection(conn.peer.Address) {
 		disconnected = nil
 	}
 	t.mutex.Unlock()
@@ -367,8 +368,8 @@
 	}
 }
 
-// reaches reports whether a connection to the address is open. The mutex is held.
-func (t *Transport) reaches(address string) bool {
+// hasConnection reports whether a connection to the address is open. The caller holds the mutex.
+func (t *Transport) hasConnection(address string) bool {
 	for conn := range t.open {
 		if conn.peer.Address == address {
 			return true
@@ -377,12 +378,12 @@
 	return false
 }
 
-// OnDisconnect registers a function that hears when the last connection to a peer has ended. The
-// peer's NodeID is known only if it had dialled. The function must not block.
-func (t *Transport) OnDisconnect(hear func(Peer)) {
+// OnDisconnect sets a function to be called when the last connection to a peer has closed. The peer's NodeID
+// is set only if the peer had dialled. The function must not block.
+func (t *Transport) OnDisconnect(callback func(Peer)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.disconnected = hear
+	t.disconnected = callback
 }
 
 // Serve accepts connections until the transport is closed.
@@ -394,14 +395,14 @@
 	if closed {
 		return listener.Close()
 	}
-	t.spawn(t.watchConnections)
+	t.spawn(t.runLivenessChecks)
 	for {
 		raw, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			return errors.Wrap(err, "accepting connections of nodes")
+			return errors.Wrap(err, "accepting connections from nodes")
 		}
 		t.spawn(func() { t.accept(raw) })
 	}
@@ -414,9 +415,9 @@
 		conn = tls.Server(raw, t.options.ServerTLS)
 	}
 	incoming := newConnection(t, conn, Peer{})
-	greeting, err := incoming.readHello()
-	if err == nil && greeting.Cluster != t.options.Cluster {
-		err = apierr.New(apierr.Forbidden, apierr.NotRun, "peer is of cluster %q", greeting.Cluster)
+	peerHello, err := incoming.readHello()
+	if err == nil && peerHello.Cluster != t.options.Cluster {
+		err = apierr.New(apierr.Forbidden, apierr.NotRun, "peer belongs to cluster %q", peerHello.Cluster)
 	}
 	if err != nil {
 		t.options.Logger.Emit(events.PeerRejected, events.F("remote", raw.RemoteAddr().String()), events.F("error", err))
@@ -424,8 +425,8 @@
 		return
 	}
 	_ = raw.SetDeadline(time.Time{})
-	incoming.peer = Peer{NodeID: greeting.NodeID, Address: greeting.Address}
-	incoming.relays = greeting.Relays && greeting.Address != ""
+	incoming.peer = Peer{NodeID: peerHello.NodeID, Address: peerHello.Address}
+	incoming.canRelay = peerHello.Relays && peerHello.Address != ""
 	if !t.register(incoming, false) {
 		_ = raw.Close()
 		return
@@ -433,7 +434,7 @@
 	incoming.start()
 }
 
-// Close ends all connections and waits for their tasks.
+// Close closes all connections and waits for their tasks.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	if t.closed {
@@ -453,7 +454,7 @@
 	t.tasks.Wait()
 }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections, inbound and outbound.
 func (t *Transport) Connections() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -22,7 +22,7 @@
 	Text string `json:"text"`
 }
 
-// serve starts a transport that echoes.
+// serve starts a transport with the handlers "echo" and "refuse" on a local port.
 func serve(t *testing.T, options Options) (*Transport, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,33 +39,33 @@
 	return created, options.Address
 }
 
-func TestCallCarriesAnswersAndTypedFailures(t *testing.T) {
+func TestCallReturnsResponsesAndTypedErrors(t *testing.T) {
 	_, address := serve(t, Options{Cluster: "c", NodeID: "a"})
 	client, _ := serve(t, Options{Cluster: "c", NodeID: "b"})
-	answer, err := Call[echo](t.Context(), client, address, "echo", echo{"hello"})
+	response, err := Call[echo](t.Context(), client, address, "echo", echo{"hello"})
 	assert.NilError(t, err)
-	assert.Equal(t, answer.Text, "hello")
+	assert.Equal(t, response.Text, "hello")
 	_, err = Call[echo](t.Context(), client, address, "refuse", echo{})
 	assert.Equal(t, apierr.From(err, apierr.Ran).RetryAfter, int64(1000))
 	_, err = Call[echo](t.Context(), client, address, "unknown", echo{})
 	assert.Assert(t, apierr.Is(err, apierr.NotFound))
 	_, err = Call[echo](t.Context(), client, "127.0.0.1:1", "echo", echo{})
-	assert.Equal(t, apierr.From(err, apierr.Ran).Outcome, apierr.NotRun, "nothing was sent")
+	assert.Equal(t, apierr.From(err, apierr.Ran).Outcome, apierr.NotRun, "want NotRun as nothing was sent")
 }
 
-func TestRelayPassesOneHopOnly(t *testing.T) {
+func TestRelayForwardsOneHopOnly(t *testing.T) {
 	_, target := serve(t, Options{Cluster: "c", NodeID: "a"})
 	_, relay := serve(t, Options{Cluster: "c", NodeID: "b"})
 	client, _ := serve(t, Options{Cluster: "c", NodeID: "d"})
-	answer, err := CallVia[echo](t.Context(), client, relay, target, "echo", echo{"around"})
+	response, err := CallVia[echo](t.Context(), client, relay, target, "echo", echo{"relayed"})
 	assert.NilError(t, err)
-	assert.Equal(t, answer.Text, "around")
+	assert.Equal(t, response.Text, "relayed")
 	_, err = CallVia[echo](t.Context(), client, relay, target, relayKind, echo{})
 	assert.Assert(t, apierr.Is(err, apierr.InvalidRequest))
 }
 
-// TestStrangersGetNothing sends what is no hello, an endless line, and another cluster's hello.
-func TestStrangersGetNothing(t *testing.T) {
+// A connection that doesn't begin with a valid hello of the same cluster is closed without a reply.
+func TestInvalidHelloIsRejected(t *testing.T) {
 	_, address := serve(t, Options{Cluster: "c", NodeID: "a"})
 	openings := map[string]string{
 		"garbage":         "GET / HTTP/1.1\r\n\r\n",
@@ -78,15 +78,15 @@
 			raw, err := net.Dial("tcp", address)
 			assert.NilError(t, err)
 			defer func() { _ = raw.Close() }()
-			// A write may fail because the other end has closed already.
+			// The write may fail if the server has already closed the connection.
 			_, _ = io.WriteString(raw, opening)
-			answer, _ := io.ReadAll(raw)
-			assert.Equal(t, len(answer), 0)
+			response, _ := io.ReadAll(raw)
+			assert.Equal(t, len(response), 0)
 		})
 	}
 }
 
-// TestMutualTLS lets in nodes of the same authority and cluster, and nobody else.
+// With mutual TLS, only nodes with a certificate of the same authority and cluster can connect.
 func TestMutualTLS(t *testing.T) {
 	folder, foreign := t.TempDir(), t.TempDir()
 	assert.NilError(t, keys.CreateAuthority(folder, "c"))
@@ -102,39 +102,37 @@
 		return Options{Cluster: cluster, NodeID: name, ServerTLS: source.ServerConfig(), ClientTLS: source.ClientConfig()}
 	}
 	_, address := serve(t, secured(folder, "c", "a"))
-	friend, _ := serve(t, secured(folder, "c", "b"))
-	_, err := Call[echo](t.Context(), friend, address, "echo", echo{"x"})
+	trusted, _ := serve(t, secured(folder, "c", "b"))
+	_, err := Call[echo](t.Context(), trusted, address, "echo", echo{"x"})
 	assert.NilError(t, err)
-	strangers := map[string]Options{
+	rejected := map[string]Options{
 		"foreign authority": secured(foreign, "c", "b"),
 		"plain":             {Cluster: "c", NodeID: "b"},
 		"another cluster":   secured(other, "other", "b"),
 	}
-	for name, options := range strangers {
+	for name, options := range rejected {
 		t.Run(name, func(t *testing.T) {
-			stranger, _ := serve(t, options)
+			client, _ := serve(t, options)
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
-			_, err := Call[echo](ctx, stranger, address, "echo", echo{"x"})
+			_, err := Call[echo](ctx, client, address, "echo", echo{"x"})
 			assert.Assert(t, apierr.Is(err, apierr.PeerUnreachable), "%v", err)
 		})
 	}
 }
 
-// TestOneWayBrokenPathIsNoticed swallows everything that the client sends, while the server's
-// messages still arrive: the call must fail all the same.
-func TestOneWayBrokenPathIsNoticed(t *testing.T) {
+// If one direction of a connection is broken, a call must fail although messages still arrive in the other direction.
+func TestHalfBrokenConnectionIsClosed(t *testing.T) {
 	server, address := serve(t, Options{Cluster: "c", NodeID: "a"})
 	client, clientAddress := serve(t, Options{Cluster: "c", NodeID: "b", Dial: func(ctx context.Context, target string) (net.Conn, error) {
 		raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", target)
-		return &halfDead{Conn: raw, passes: 1}, err
+		return &writeDropper{Conn: raw, passes: 1}, err
 	}})
-	_, err := Call[echo](t.Context(), client, address, "echo", echo{"swallowed"})
+	_, err := Call[echo](t.Context(), client, address, "echo", echo{"dropped"})
 	assert.Assert(t, apierr.Is(err, apierr.PeerUnreachable), "%v", err)
-	// The server may still hold the broken connection for its way to the client; it closes it, too,
-	// and then dials a new one.
+	// The server may still use the broken connection to call the client; it has to close it and dial a new one.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		_, err := Call[echo](t.Context(), server, clientAddress, "echo", echo{"other way"})
+		_, err := Call[echo](t.Context(), server, clientAddress, "echo", echo{"reverse"})
 		if err != nil {
 			return poll.Continue("%v", err)
 		}
@@ -142,23 +140,23 @@
 	}, poll.WithTimeout(time.Minute))
 }
 
-// halfDead passes the first writes and swallows the others.
-type halfDead struct {
+// writeDropper sends only the hello lines of the first passes writes and drops everything else.
+type writeDropper struct {
 	net.Conn
 	passes int
 }
 
-func (h *halfDead) Write(data []byte) (int, error) {
-	if h.passes > 0 && strings.Contains(string(data), helloKind) {
-		h.passes--
+func (w *writeDropper) Write(data []byte) (int, error) {
+	if w.passes > 0 && strings.Contains(string(data), helloKind) {
+		w.passes--
 		hello, _, _ := strings.Cut(string(data), "\n")
-		_, err := h.Conn.Write([]byte(hello + "\n"))
+		_, err := w.Conn.Write([]byte(hello + "\n"))
 		return len(data), err
 	}
 	return len(data), nil
 }
 
-// FuzzFrames gives the decoder whatever a peer may send.
+// FuzzFrames checks that arbitrary input doesn't crash the decoder or exceed the line limit.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte(`{"k":"echo","i":1,"p":{"text":"x"}}` + "\n"))
 	f.Add([]byte("{}\n\n[]\n"))
@@ -171,9 +169,9 @@
 				return
 			}
 			if len(line) > 64 {
-				t.Fatal(fmt.Sprint("a line over the limit: ", len(line)))
+				t.Fatal(fmt.Sprint("line exceeds the limit: ", len(line)))
 			}
-			// Any line either decodes or gives an error.
+			// An invalid line must return an error, not panic.
 			_, _ = decodeFrame(line)
 		}
 	})
