--- a/internal/modelload/demand.go
+++ b/internal/modelload/demand.go
@@ -7,84 +7,84 @@
 
 const (
 	demandKind = "model_demand"
-	// reportInterval is how often a node tells its demand; in a large cluster each node adds
-	// reportSpacing to it, so that the node that decides hears a bounded number of reports a second.
-	reportInterval = 2 * time.Second
-	reportSpacing  = 100 * time.Millisecond
-	// reportsMissed is after how many intervals a node's report counts no more.
-	reportsMissed = 3
-	// demandHalfLife is how slowly demand is forgotten; growth counts at once.
+	// baseReportInterval plus reportIntervalPerNode for each node of the cluster is how often a node reports its demand.
+	// The second part bounds the rate of reports that a leader receives in a large cluster.
+	baseReportInterval    = 2 * time.Second
+	reportIntervalPerNode = 100 * time.Millisecond
+	// missedReportLimit is after how many intervals without a new report a node's demand is dropped.
+	missedReportLimit = 3
+	// demandHalfLife is the half-life of demand that is no longer reported.
 	demandHalfLife = 10 * time.Second
 )
 
-// PoolDemand is how many calls of each model run or wait.
+// PoolDemand is the number of running and waiting calls of each model of a pool.
 type PoolDemand struct {
 	Pool   string         `json:"pool"`
 	Models map[string]int `json:"models"`
 }
 
-// demandReport is one node's demand on a pool.
+// demandReport is the demand for one pool at one node.
 type demandReport struct {
 	PoolDemand
 	Node string `json:"node"`
-	// Refuted are the engines that lacked the model of their record.
-	Refuted []string `json:"refuted,omitempty"`
-	// IntervalMillis is when to expect the next one.
+	// NotLoaded lists the engines that have not loaded the model in their membership record.
+	NotLoaded []string `json:"refuted,omitempty"`
+	// IntervalMillis is the time until the next report.
 	IntervalMillis int64 `json:"interval_ms"`
 }
 
-type heardReport struct {
-	report  demandReport
-	at      time.Time
-	expires time.Time
+type receivedReport struct {
+	report     demandReport
+	receivedAt time.Time
+	expiresAt  time.Time
 }
 
-// demandTable keeps the latest report of each node on each pool.
+// demandTable holds the latest report of each node by pool. It is safe for concurrent use.
 type demandTable struct {
 	mutex   sync.Mutex
-	reports map[string]map[string]heardReport
+	reports map[string]map[string]receivedReport
 }
 
 func newDemandTable() *demandTable {
-	return &demandTable{reports: make(map[string]map[string]heardReport)}
+	return &demandTable{reports: make(map[string]map[string]receivedReport)}
 }
 
-func (d *demandTable) note(report demandReport, now time.Time) {
+func (d *demandTable) add(report demandReport, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.reports[report.Pool] == nil {
-		d.reports[report.Pool] = make(map[string]heardReport)
+		d.reports[report.Pool] = make(map[string]receivedReport)
 	}
-	expires := now.Add(reportsMissed * time.Duration(report.IntervalMillis) * time.Millisecond)
-	d.reports[report.Pool][report.Node] = heardReport{report: report, at: now, expires: expires}
+	expiresAt := now.Add(missedReportLimit * time.Duration(report.IntervalMillis) * time.Millisecond)
+	d.reports[report.Pool][report.Node] = receivedReport{report: report, receivedAt: now, expiresAt: expiresAt}
 }
 
-// sum adds up what the nodes reported lately on a pool.
+// sum returns the total demand for each model of a pool and drops expired reports.
 func (d *demandTable) sum(pool string, now time.Time) map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	total := make(map[string]float64)
-	for node, heard := range d.reports[pool] {
-		if now.After(heard.expires) {
+	for node, received := range d.reports[pool] {
+		if now.After(received.expiresAt) {
 			delete(d.reports[pool], node)
 			continue
 		}
-		for model, calls := range heard.report.Models {
+		for model, calls := range received.report.Models {
 			total[model] += float64(calls)
 		}
 	}
 	return total
 }
 
-// refuted returns when a node last told of each engine of a pool that it lacks the model of its record.
-func (d *demandTable) refuted(pool string) map[string]time.Time {
+// notLoaded returns, by engine of a pool, when a node last reported that it has not loaded the model in its record.
+func (d *demandTable) notLoaded(pool string) map[string]time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	latest := make(map[string]time.Time)
-	for _, heard := range d.reports[pool] {
-		for _, engine := range heard.report.Refuted {
-			if heard.at.After(latest[engine]) {
-				latest[engine] = heard.at
+	for _, received := range d.reports[pool] {
+		for _, engine := range received.report.NotLoaded {
+			if received.receivedAt.After(latest[engine]) {
+				latest[engine] = received.receivedAt
 			}
 		}
 	}
--- a/internal/modelload/fuzz_test.go
+++ b/internal/modelload/fuzz_test.go
@@ -9,16 +9,16 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// FuzzHeard: whatever a peer's record says, a View keeps what it knew of other engines, and goes on.
-func FuzzHeard(f *testing.F) {
+// FuzzApplyChange checks that an arbitrary record neither crashes a View nor changes the state of other engines.
+func FuzzApplyChange(f *testing.F) {
 	f.Add("model/pool/e2", `{"model":"b"}`)
 	f.Add("model/", `{}`)
 	f.Add("model/pool/e2", `["b"]`)
 	f.Add("partition/7", `{"model":"b"}`)
 	f.Fuzz(func(t *testing.T, key, value string) {
 		view := &View{models: make(map[string]string), subsets: make(map[subsetKey][]resource.Engine), changed: make(chan struct{})}
-		view.heard(membership.Change{Record: &membership.Record{Key: recordKey("pool", "e1"), Value: []byte(`{"model":"a"}`)}})
-		view.heard(membership.Change{Record: &membership.Record{Key: key, Value: []byte(value)}})
+		view.applyChange(membership.Change{Record: &membership.Record{Key: recordKey("pool", "e1"), Value: []byte(`{"model":"a"}`)}})
+		view.applyChange(membership.Change{Record: &membership.Record{Key: key, Value: []byte(value)}})
 		if key != recordKey("pool", "e1") {
 			assert.Equal(t, view.Model("pool", "e1"), "a")
 		}
--- a/internal/modelload/manager.go
+++ b/internal/modelload/manager.go
@@ -18,8 +18,8 @@
 
 const (
 	stepInterval = time.Second
-	// leastReportGap bounds how often a call that waits for a model makes its node report early.
-	leastReportGap = 500 * time.Millisecond
+	// minReportInterval is the minimum time between reports, including those requested by ReportDemand.
+	minReportInterval = 500 * time.Millisecond
 )
 
 // Options configure a Manager.
@@ -30,53 +30,54 @@
 	Partitions *partition.Manager
 	Host       *replica.Host
 	Loader     engine.Loader
-	// Demand counts the calls of the partitions that this node leads.
+	// Demand returns the number of calls in the partitions that this node leads.
 	Demand func() []PoolDemand
-	// ConfirmLeadership commits something in a partition that this node leads.
+	// ConfirmLeadership commits an entry in a partition and fails if this node no longer leads it.
 	ConfirmLeadership func(ctx context.Context, partition uint32) error
 	Logger            *events.Logger
 }
 
-// Manager reports this node's demand, and decides for the pools whose partitions it leads.
+// Manager reports this node's demand and assigns models to the engines of the pools whose partitions it leads.
 type Manager struct {
 	*View
 	options     Options
 	reports     *demandTable
 	controllers map[string]*controller
-	wanted      chan struct{}
+	reportSoon  chan struct{}
 }
 
-// NewManager returns a Manager and registers its messages.
+// NewManager returns a Manager and registers its message handler with the transport.
 func NewManager(options Options) *Manager {
 	manager := &Manager{
 		View:        NewView(options.Membership),
 		options:     options,
 		reports:     newDemandTable(),
 		controllers: make(map[string]*controller),
-		wanted:      make(chan struct{}, 1),
+		reportSoon:  make(chan struct{}, 1),
 	}
 	transport.HandleOneWay(options.Transport, demandKind, func(_ transport.Peer, report demandReport) {
-		manager.reports.note(report, time.Now())
+		manager.reports.add(report, time.Now())
 	})
 	return manager
 }
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// halved is what remains of demand after a time.
-func halved(elapsed time.Duration) float64 {
+// decayFactor returns the share of demand that remains after the elapsed time.
+func decayFactor(elapsed time.Duration) float64 {
 	return math.Exp2(-elapsed.Seconds() / demandHalfLife.Seconds())
 }
 
-// ReportDemand tells that a call waits for a model that no engine has; the demand is reported soon.
+// ReportDemand requests an early demand report, for a call that waits for a model that no engine has loaded.
 func (m *Manager) ReportDemand() {
 	select {
-	case m.wanted <- struct{}{}:
+	case m.reportSoon <- struct{}{}:
 	default:
 	}
 }
 
-// MarkNotLoaded takes an engine out of use as View's does, and has whoever decides ask it soon.
+// MarkNotLoaded is like View.MarkNotLoaded, and also requests an early report so that the pool's leader polls the
+// engine.
 func (m *Manager) MarkNotLoaded(pool, engine, model string) bool {
 	if !m.View.MarkNotLoaded(pool, engine, model) {
 		return false
@@ -86,7 +87,7 @@
 	return true
 }
 
-// Run reports and decides until the context ends.
+// Run reports demand and controls the pools led by this node until the context ends.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
@@ -97,30 +98,30 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-m.wanted:
+		case <-m.reportSoon:
 			urgent = true
 		}
 		now := time.Now()
-		if interval := m.interval(); now.Sub(reported) >= interval || urgent && now.Sub(reported) >= leastReportGap {
-			m.report(interval)
+		if reportInterval := m.reportInterval(); now.Sub(reported) >= reportInterval || urgent && now.Sub(reported) >= minReportInterval {
+			m.report(reportInterval)
 			reported = now
 		}
-		m.control(ctx)
+		m.controlPools(ctx)
 	}
 }
 
-func (m *Manager) interval() time.Duration {
-	return reportInterval + reportSpacing*time.Duration(len(m.options.Membership.View().Usable()))
+func (m *Manager) reportInterval() time.Duration {
+	return baseReportInterval + reportIntervalPerNode*time.Duration(len(m.options.Membership.View().Usable()))
 }
 
-// report tells the demand to all replicas of each pool's partition, so that whoever leads knows it.
+// report sends the demand to all replicas of each pool's partition, as any of them may be or become the leader.
 func (m *Manager) report(interval time.Duration) {
 	view := m.options.Membership.View()
 	set := m.options.Config.Current().Set
 	if len(set.LoadingPools()) == 0 {
 		return
 	}
-	for _, demand := range m.withRefuted(m.options.Demand(), set) {
+	for _, demand := range m.addNotLoaded(m.options.Demand(), set) {
 		if pool, known := set.Pool(demand.Pool); !known || pool.Loading == nil {
 			continue
 		}
@@ -128,13 +129,13 @@
 		if err != nil {
 			continue
 		}
-		report := demandReport{PoolDemand: demand, Node: view.Self.ID, Refuted: m.NotLoaded(demand.Pool), IntervalMillis: interval.Milliseconds()}
+		report := demandReport{PoolDemand: demand, Node: view.Self.ID, NotLoaded: m.NotLoaded(demand.Pool), IntervalMillis: interval.Milliseconds()}
 		for _, replicaID := range replicas {
 			member, known := view.Replica(replicaID)
 			switch {
 			case !known || !member.Usable():
 			case member.ID == view.Self.ID:
-				m.reports.note(report, time.Now())
+				m.reports.add(report, time.Now())
 			default:
 				m.options.Transport.Send(member.Address, demandKind, report)
 			}
@@ -142,9 +143,9 @@
 	}
 }
 
-// withRefuted adds the pools without demand of which an engine was refuted: whoever decides must hear of it,
-// also if the calls that have found out are over.
-func (m *Manager) withRefuted(demands []PoolDemand, set *resource.Set) []PoolDemand {
+// addNotLoaded adds the pools without demand that have engines marked as not loaded. The pool's leader must be told of
+// these even if the calls that found them have ended.
+func (m *Manager) addNotLoaded(demands []PoolDemand, set *resource.Set) []PoolDemand {
 	for _, item := range set.LoadingPools() {
 		counted := slices.ContainsFunc(demands, func(demand PoolDemand) bool { return demand.Pool == item.Name })
 		if !counted && len(m.NotLoaded(item.Name)) > 0 {
@@ -154,17 +155,17 @@
 	return demands
 }
 
-// control steps the pools that this node decides for, and forgets the others.
-func (m *Manager) control(ctx context.Context) {
+// controlPools runs a step for each pool that this node leads and drops the controllers of all others.
+func (m *Manager) controlPools(ctx context.Context) {
 	set := m.options.Config.Current().Set
 	led := make(map[string]bool)
 	for _, item := range set.LoadingPools() {
-		current := m.controllerOf(item.Name)
+		current := m.controllerFor(item.Name)
 		if current == nil {
 			continue
 		}
 		led[item.Name] = true
-		current.step(ctx, item.Pool, m.ownEngines(item), set.ModelsOfPool(item.Name), m.reports)
+		current.step(ctx, item.Pool, m.localEngines(item), set.ModelsOfPool(item.Name), m.reports)
 	}
 	for name := range m.controllers {
 		if !led[name] {
@@ -173,9 +174,9 @@
 	}
 }
 
-// controllerOf returns the pool's controller in the present term if this node leads the pool's
-// partition, else nil.
-func (m *Manager) controllerOf(pool string) *controller {
+// controllerFor returns the pool's controller for the current term, or nil if this node doesn't lead the pool's
+// partition.
+func (m *Manager) controllerFor(pool string) *controller {
 	id, _, err := m.options.Partitions.Locate(m.options.Membership.View().Self.Region, "", recordPrefix+pool)
 	if err != nil {
 		return nil
@@ -192,9 +193,9 @@
 	return current
 }
 
-// ownEngines are the pool's engines that this region decides for: its own, and in the first region
-// also those of no region.
-func (m *Manager) ownEngines(pool resource.Resource) []resource.Engine {
+// localEngines returns the pool's engines that are controlled from this region: those of the region and, in the first
+// region, those without a region.
+func (m *Manager) localEngines(pool resource.Resource) []resource.Engine {
 	region := m.options.Membership.View().Self.Region
 	own, _, err := m.options.Partitions.Locate(region, "", recordPrefix+pool.Name)
 	first, _, firstErr := m.options.Partitions.Locate("", "", recordPrefix+pool.Name)
--- a/internal/modelload/plan.go
+++ b/internal/modelload/plan.go
@@ -1,7 +1,7 @@
-// Package modelload decides which model each engine of a pool has loaded, and orders the engines to
-// load it. One node decides for a pool at a time, the leader of the partition that the pool's name
-// falls to; its orders carry a fencing token that grows with the leader's term. Which engine has which
-// model spreads as membership records. docs/design/model-loading.md weighs the ways.
+// Package modelload decides which model each engine of a pool should load and orders the engines to load it. A pool
+// is controlled by one node at a time: the leader of the partition to which the pool's name is mapped. Its orders
+// carry a fencing token that increases with the leader's term. Membership records distribute which engine has loaded
+// which model. docs/design/model-loading.md compares the alternatives.
 package modelload
 
 import (
@@ -13,58 +13,59 @@
 )
 
 const (
-	// growUtilization is the share of its engines' slots above which a model gets further engines;
-	// at shrinkUtilization and below it gives engines away. The gap keeps engines from going back and
-	// forth.
+	// A model gets more engines if the utilization of its engines' slots is above growUtilization, and can give
+	// engines away at or below shrinkUtilization. The gap between them prevents oscillation.
 	growUtilization   = 0.75
 	shrinkUtilization = 0.5
-	// overloadMargin is by how much calls per engine must differ under overload, after the move, for
-	// an engine to move.
+	// overloadMargin is the ratio of calls per engine, after the move, above which an engine is moved to another model
+	// under overload.
 	overloadMargin = 1.25
 )
 
-// EngineState is an engine as the planner sees it.
+// EngineState is the planner's view of an engine.
 type EngineState struct {
 	Name  string
 	Slots int
-	// Model is loaded, or is being loaded; empty if the engine got no order yet.
+	// Model is loaded, or being loaded if Loading is set; empty if no load was ordered yet.
 	Model   string
 	Loading bool
-	// Since is when the engine got its model.
+	// Since is when the engine's model last changed.
 	Since time.Time
 }
 
-// Assignment gives an engine another model.
+// Assignment is the decision to load another model on an engine.
 type Assignment struct {
 	Engine string
 	Model  string
 }
 
-// PlanInput is all that a plan depends on.
+// PlanInput is the complete input of Plan.
 type PlanInput struct {
-	// Engines are those that can be reached.
+	// Engines lists the engines that are reachable and not draining.
 	Engines []EngineState
-	// Demand is how many calls of each model run or wait. It has an entry for each model of the pool.
+	// Demand is the number of running and waiting calls by model. It has an entry for each model of the pool.
 	Demand map[string]float64
-	// AtOnce bounds the engines that load at one time.
+	// AtOnce is the maximum number of engines loading at the same time.
 	AtOnce int
-	// Hold is how long an engine keeps a model at least.
+	// Hold is the minimum time for which an engine keeps a model.
 	Hold time.Duration
 	Now  time.Time
 }
 
-// plan is the state of one planning.
+// plan is the intermediate state of Plan.
 type plan struct {
 	PlanInput
+	// slots is the mean number of slots per engine.
 	slots float64
-	// have counts engines by model; need is how many a model should get, keep how many it is left.
-	have, need, keep map[string]int
-	loading          int
-	// overloaded is set if the engines do not suffice for all.
+	// assigned is the number of engines by model, including those loading it; need is the number that a model should
+	// have, and keep the number that it may not be reduced below.
+	assigned, need, keep map[string]int
+	loading              int
+	// overloaded is true if there are fewer engines than needed.
 	overloaded bool
 }
 
-// Plan returns which engines should load another model now. The same input gives the same plan.
+// Plan returns the engines that should load another model now. It is deterministic.
 func Plan(input PlanInput) []Assignment {
 	state := newPlan(input)
 	var assignments []Assignment
@@ -82,32 +83,32 @@
 func newPlan(input PlanInput) *plan {
 	input.Engines = slices.Clone(input.Engines)
 	slices.SortFunc(input.Engines, func(a, b EngineState) int { return cmp.Compare(a.Name, b.Name) })
-	state := &plan{PlanInput: input, have: make(map[string]int)}
+	state := &plan{PlanInput: input, assigned: make(map[string]int)}
 	for index := range input.Engines {
 		engine := &input.Engines[index]
 		if _, served := input.Demand[engine.Model]; !served && !engine.Loading {
-			// A model that the pool does not serve any more is as good as none.
+			// The pool no longer serves this model, so the engine is free.
 			engine.Model = ""
 		}
 		state.slots += float64(engine.Slots) / float64(len(input.Engines))
 		if engine.Model != "" {
-			state.have[engine.Model]++
+			state.assigned[engine.Model]++
 		}
 		if engine.Loading {
 			state.loading++
 		}
 	}
-	state.need, state.keep = state.enginesAt(growUtilization), state.enginesAt(shrinkUtilization)
+	state.need, state.keep = state.enginesFor(growUtilization), state.enginesFor(shrinkUtilization)
 	if total(state.need) > len(input.Engines) {
 		state.overloaded = true
-		state.need = fit(state.need, input.Demand, len(input.Engines))
+		state.need = allocate(state.need, input.Demand, len(input.Engines))
 		state.keep = state.need
 	}
 	return state
 }
 
-// enginesAt is how many engines each model needs to be used so far.
-func (p *plan) enginesAt(utilization float64) map[string]int {
+// enginesFor returns the number of engines that each model with demand needs to stay at or below a utilization.
+func (p *plan) enginesFor(utilization float64) map[string]int {
 	engines := make(map[string]int)
 	for model, calls := range p.Demand {
 		if calls > 0 {
@@ -125,9 +126,9 @@
 	return sum
 }
 
-// fit reduces wishes to what is there: each model with demand gets one engine as long as there are
-// any, by demand, and the rest goes by the unmet share.
-func fit(wanted map[string]int, demand map[string]float64, engines int) map[string]int {
+// allocate distributes a number of engines that is less than the total wanted: one to each model in descending order of
+// demand, as far as they suffice, then each remaining engine to the model with the most calls per engine.
+func allocate(wanted map[string]int, demand map[string]float64, engines int) map[string]int {
 	models := slices.Sorted(maps.Keys(wanted))
 	slices.SortStableFunc(models, func(a, b string) int { return cmp.Compare(demand[b], demand[a]) })
 	given := make(map[string]int)
@@ -146,7 +147,7 @@
 	return given
 }
 
-// next finds the most urgent assignment.
+// next returns the most urgent assignment, if any.
 func (p *plan) next() (Assignment, bool) {
 	receiver, found := p.receiver()
 	if found {
@@ -154,28 +155,28 @@
 			return Assignment{Engine: engine, Model: receiver}, true
 		}
 	}
-	return p.spread()
+	return p.assignIdle()
 }
 
-// receiver is the model that lacks the greatest share of the engines that it needs.
+// receiver returns the model that lacks the largest share of the engines it needs; the higher demand breaks ties.
 func (p *plan) receiver() (string, bool) {
-	best, lack := "", 0.0
+	best, deficit := "", 0.0
 	for _, model := range slices.Sorted(maps.Keys(p.need)) {
-		share := float64(p.need[model]-p.have[model]) / float64(p.need[model])
-		if share > lack || share == lack && share > 0 && p.Demand[model] > p.Demand[best] {
-			best, lack = model, share
+		share := float64(p.need[model]-p.assigned[model]) / float64(p.need[model])
+		if share > deficit || share == deficit && share > 0 && p.Demand[model] > p.Demand[best] {
+			best, deficit = model, share
 		}
 	}
-	return best, lack > 0
+	return best, deficit > 0
 }
 
-// donor is an engine that can be spared: one without a model, or one of the model that has most
-// engines beyond its keep, if it has had it long enough. A model without any engine also gets one
-// that another model would rather keep.
+// donor returns an engine that can be reassigned to the receiver: one without a model, or else one of the model with the
+// largest surplus, if the engine has had it for the hold time. The surplus is counted above keep, or above need
+// if the receiver has no engine at all.
 func (p *plan) donor(receiver string) (string, bool) {
-	floor := p.keep
-	if p.have[receiver] == 0 {
-		floor = p.need
+	reserved := p.keep
+	if p.assigned[receiver] == 0 {
+		reserved = p.need
 	}
 	best, surplus := -1, 0
 	for index, engine := range p.Engines {
@@ -184,9 +185,9 @@
 		case engine.Model == "":
 			return engine.Name, true
 		case p.Now.Sub(engine.Since) < p.Hold:
-		case p.overloaded && !p.evensOut(engine.Model, receiver):
-		case p.have[engine.Model]-floor[engine.Model] > surplus:
-			best, surplus = index, p.have[engine.Model]-floor[engine.Model]
+		case p.overloaded && !p.improvesBalance(engine.Model, receiver):
+		case p.assigned[engine.Model]-reserved[engine.Model] > surplus:
+			best, surplus = index, p.assigned[engine.Model]-reserved[engine.Model]
 		}
 	}
 	if best < 0 {
@@ -195,25 +196,25 @@
 	return p.Engines[best].Name, true
 }
 
-// evensOut reports whether the receiver has clearly more calls for each engine than the donor would
-// have after the move.
-func (p *plan) evensOut(donor, receiver string) bool {
-	if p.have[receiver] == 0 {
+// improvesBalance reports whether the receiver has more calls per engine than the donor would have after the move, by
+// the overload margin.
+func (p *plan) improvesBalance(donor, receiver string) bool {
+	if p.assigned[receiver] == 0 {
 		return true
 	}
-	left := float64(p.have[donor] - 1)
-	return p.Demand[receiver]*left > overloadMargin*p.Demand[donor]*float64(p.have[receiver])
+	left := float64(p.assigned[donor] - 1)
+	return p.Demand[receiver]*left > overloadMargin*p.Demand[donor]*float64(p.assigned[receiver])
 }
 
-// spread gives an engine without a model the one that fewest engines have, so that it is of use
-// when calls come.
-func (p *plan) spread() (Assignment, bool) {
+// assignIdle assigns the model with the fewest engines to an engine without a model, so that it can serve calls when
+// they arrive.
+func (p *plan) assignIdle() (Assignment, bool) {
 	models := slices.Sorted(maps.Keys(p.Demand))
 	for _, engine := range p.Engines {
 		if engine.Model != "" || engine.Loading || len(models) == 0 {
 			continue
 		}
-		fewest := slices.MinFunc(models, func(a, b string) int { return cmp.Compare(p.have[a], p.have[b]) })
+		fewest := slices.MinFunc(models, func(a, b string) int { return cmp.Compare(p.assigned[a], p.assigned[b]) })
 		return Assignment{Engine: engine.Name, Model: fewest}, true
 	}
 	return Assignment{}, false
@@ -226,10 +227,10 @@
 			continue
 		}
 		if engine.Model != "" {
-			p.have[engine.Model]--
+			p.assigned[engine.Model]--
 		}
 		engine.Model, engine.Loading, engine.Since = next.Model, true, p.Now
 	}
-	p.have[next.Model]++
+	p.assigned[next.Model]++
 	p.loading++
 }
--- a/internal/modelload/view.go
+++ b/internal/modelload/view.go
@@ -11,32 +11,32 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// recordPrefix starts the keys of membership records that tell an engine's model. Their versions are
-// fencing tokens, so that a deposed leader's word never replaces its successor's.
+// recordPrefix is the key prefix of membership records that hold an engine's model. Their versions are fencing tokens,
+// so that a former leader's record never replaces one of its successor.
 const recordPrefix = "model/"
 
-// refutedFor is how long an engine's own word stands against its record, unless a new record comes. Then
-// whoever decides has asked all engines anew, and one that was refuted by mistake is used again.
-const refutedFor = askInterval
+// notLoadedTTL is how long an engine marked as not loaded stays unused unless a new record arrives. After that time the
+// pool's leader has polled all engines again, so an engine that was marked by mistake can be used again.
+const notLoadedTTL = pollInterval
 
-// mostSubsets bounds the cached lists of engines.
-const mostSubsets = 1024
+// maxCachedSubsets bounds View.subsets.
+const maxCachedSubsets = 1024
 
-// modelRecord is such a record's value. Model is empty while the engine loads.
+// modelRecord is the value of such a record. Model is empty while the engine is loading.
 type modelRecord struct {
 	Model string `json:"model"`
 }
 
 func recordKey(pool, engine string) string { return recordPrefix + pool + "/" + engine }
 
-// View knows which engines have which model. It is safe for concurrent use.
+// View holds the model that each engine has loaded, as distributed by membership records. It is safe for concurrent use.
 type View struct {
 	mutex  sync.Mutex
 	models map[string]string
-	// refuted are the engines that lacked the model of their record, and until when they count as
-	// without any.
-	refuted map[string]time.Time
-	// subsets caches the engines of a model, for the pools of the configuration in force.
+	// notLoaded holds the engines found not to have loaded the model in their record, and until when they are treated
+	// as having no model.
+	notLoaded map[string]time.Time
+	// subsets caches the results of Engines. It is cleared whenever models or notLoaded change.
 	subsets map[subsetKey][]resource.Engine
 	changed chan struct{}
 }
@@ -46,59 +46,59 @@
 	model string
 }
 
-// NewView returns a View that follows the members' records.
+// NewView returns a View that follows the membership records.
 func NewView(members *membership.Manager) *View {
-	view := &View{models: make(map[string]string), refuted: make(map[string]time.Time), subsets: make(map[subsetKey][]resource.Engine), changed: make(chan struct{})}
-	members.Subscribe(view.heard)
+	view := &View{models: make(map[string]string), notLoaded: make(map[string]time.Time), subsets: make(map[subsetKey][]resource.Engine), changed: make(chan struct{})}
+	members.Subscribe(view.applyChange)
 	return view
 }
 
-func (v *View) heard(change membership.Change) {
-	if change.Record == nil || !strings.HasPrefix(change.Record.Key, recordPrefix) {
+func (v *View) applyChange(update membership.Change) {
+	if update.Record == nil || !strings.HasPrefix(update.Record.Key, recordPrefix) {
 		return
 	}
 	var value modelRecord
-	if json.Unmarshal(change.Record.Value, &value) != nil {
+	if json.Unmarshal(update.Record.Value, &value) != nil {
 		return
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	key := strings.TrimPrefix(change.Record.Key, recordPrefix)
+	key := strings.TrimPrefix(update.Record.Key, recordPrefix)
 	v.models[key] = value.Model
-	delete(v.refuted, key)
-	v.change()
+	delete(v.notLoaded, key)
+	v.update()
 }
 
-// change tells that another set of engines has some model. The mutex is held.
-func (v *View) change() {
+// update clears the cache and wakes those that wait for Changed. The caller holds the mutex.
+func (v *View) update() {
 	clear(v.subsets)
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// MarkNotLoaded takes an engine out of use that has refused a call, for it lacks the model of its record. An order's
-// record is lost when the node that gave it dies before it has told the others; calls that go on to that
-// engine would be refused until another node decides. It returns false if the engine counts as without that
-// model anyway.
+// MarkNotLoaded takes an engine out of use that has refused a call because it has not loaded the model in its record.
+// The record is stale if the node that ordered another model failed before it distributed the new record; without the
+// mark, calls would be sent to the engine and refused until a new leader polls it. MarkNotLoaded returns false if
+// the engine is already considered not to have the model.
 func (v *View) MarkNotLoaded(pool, engine, model string) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	key := pool + "/" + engine
-	if v.believed(key, time.Now()) != model {
+	if v.effectiveModel(key, time.Now()) != model {
 		return false
 	}
-	v.refuted[key] = time.Now().Add(refutedFor)
-	v.change()
+	v.notLoaded[key] = time.Now().Add(notLoadedTTL)
+	v.update()
 	return true
 }
 
-// NotLoaded lists the engines of a pool that were taken out of use so, and have no new record yet.
+// NotLoaded returns the sorted names of a pool's engines that are marked by MarkNotLoaded.
 func (v *View) NotLoaded(pool string) []string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.forgiveRefuted(time.Now())
+	v.expireNotLoaded(time.Now())
 	var engines []string
-	for key := range v.refuted {
+	for key := range v.notLoaded {
 		if engine, found := strings.CutPrefix(key, pool+"/"); found {
 			engines = append(engines, engine)
 		}
@@ -107,25 +107,26 @@
 	return engines
 }
 
-// believed is the model of an engine's record unless the engine has refuted it. The mutex is held.
-func (v *View) believed(key string, now time.Time) string {
-	if now.Before(v.refuted[key]) {
+// effectiveModel returns the model in an engine's record, or "" if the engine is marked as not loaded. The caller holds
+// the mutex.
+func (v *View) effectiveModel(key string, now time.Time) string {
+	if now.Before(v.notLoaded[key]) {
 		return ""
 	}
 	return v.models[key]
 }
 
-// forgiveRefuted lets engines be used again whose time is over. The mutex is held.
-func (v *View) forgiveRefuted(now time.Time) {
-	for key, until := range v.refuted {
+// expireNotLoaded removes marks that have expired. The caller holds the mutex.
+func (v *View) expireNotLoaded(now time.Time) {
+	for key, until := range v.notLoaded {
 		if !now.Before(until) {
-			delete(v.refuted, key)
+			delete(v.notLoaded, key)
 			clear(v.subsets)
 		}
 	}
 }
 
-// Changed is closed with the next change of any engine's model.
+// Changed returns a channel that is closed at the next change of any engine's model.
 func (v *View) Changed() <-chan struct{} {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -137,29 +138,28 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := time.Now()
-	v.forgiveRefuted(now)
+	v.expireNotLoaded(now)
 	key := subsetKey{pool: pool, model: model}
 	if known, cached := v.subsets[key]; cached {
 		return known
 	}
 	var subset []resource.Engine
 	for _, engine := range pool.Engines {
-		if v.believed(name+"/"+engine.Name, now) == model {
+		if v.effectiveModel(name+"/"+engine.Name, now) == model {
 			subset = append(subset, engine)
 		}
 	}
-	if len(v.subsets) >= mostSubsets {
-		// Most are of configurations that are no longer in force.
+	if len(v.subsets) >= maxCachedSubsets {
+		// Most entries belong to pools of earlier configurations.
 		clear(v.subsets)
 	}
 	v.subsets[key] = subset
 	return subset
 }
 
-// Model returns what an engine has loaded; it is empty while the engine loads, or if it lacks what its
-// record tells.
+// Model returns the model that an engine has loaded; empty while it is loading or marked as not loaded.
 func (v *View) Model(pool, engine string) string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.believed(pool+"/"+engine, time.Now())
+	return v.effectiveModel(pool+"/"+engine, time.Now())
 }
--- a/internal/modelload/view_test.go
+++ b/internal/modelload/view_test.go
@@ -14,19 +14,19 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// newTestView knows pool "pool" whose engines e1 and e2 have model "a".
+// newTestView returns a View of pool "pool" in which engines e1 and e2 have loaded model "a".
 func newTestView() (*View, *resource.Pool) {
-	view := &View{models: make(map[string]string), refuted: make(map[string]time.Time), subsets: make(map[subsetKey][]resource.Engine), changed: make(chan struct{})}
-	hear(view, "e1", `{"model":"a"}`)
-	hear(view, "e2", `{"model":"a"}`)
+	view := &View{models: make(map[string]string), notLoaded: make(map[string]time.Time), subsets: make(map[subsetKey][]resource.Engine), changed: make(chan struct{})}
+	setModel(view, "e1", `{"model":"a"}`)
+	setModel(view, "e2", `{"model":"a"}`)
 	return view, &resource.Pool{Engines: []resource.Engine{{Name: "e1"}, {Name: "e2"}}}
 }
 
-func hear(view *View, name, value string) {
-	view.heard(membership.Change{Record: &membership.Record{Key: recordKey("pool", name), Value: []byte(value)}})
+func setModel(view *View, name, value string) {
+	view.applyChange(membership.Change{Record: &membership.Record{Key: recordKey("pool", name), Value: []byte(value)}})
 }
 
-func closed(channel <-chan struct{}) bool {
+func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
 		return true
@@ -35,30 +35,30 @@
 	}
 }
 
-// TestRefutedEngineIsOutOfUse: an engine that lacks the model of its record counts as without any until
-// there is a new record, or the time is over; those that wait for a change hear of it once.
-func TestRefutedEngineIsOutOfUse(t *testing.T) {
+// An engine marked as not loaded is not used until a new record arrives or the mark expires, and waiters for a change
+// are notified once.
+func TestNotLoadedEngineIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view, pool := newTestView()
 		assert.Equal(t, len(view.Engines("pool", pool, "a")), 2)
 		changed := view.Changed()
 		assert.Assert(t, view.MarkNotLoaded("pool", "e1", "a"))
-		assert.Assert(t, closed(changed))
+		assert.Assert(t, isClosed(changed))
 		assert.DeepEqual(t, view.Engines("pool", pool, "a"), []resource.Engine{{Name: "e2"}})
 		assert.Equal(t, view.Model("pool", "e1"), "")
 		assert.DeepEqual(t, view.NotLoaded("pool"), []string{"e1"})
 
 		changed = view.Changed()
-		assert.Assert(t, !view.MarkNotLoaded("pool", "e1", "a"), "a second refusal tells nothing new")
-		assert.Assert(t, !view.MarkNotLoaded("pool", "e2", "b"), "the record does not tell that model")
-		assert.Assert(t, !closed(changed))
+		assert.Assert(t, !view.MarkNotLoaded("pool", "e1", "a"), "marked an engine that is marked already")
+		assert.Assert(t, !view.MarkNotLoaded("pool", "e2", "b"), "marked an engine for a model that is not in its record")
+		assert.Assert(t, !isClosed(changed))
 
-		hear(view, "e1", `{"model":"a"}`)
+		setModel(view, "e1", `{"model":"a"}`)
 		assert.Equal(t, len(view.Engines("pool", pool, "a")), 2)
 		assert.Equal(t, len(view.NotLoaded("pool")), 0)
 
 		view.MarkNotLoaded("pool", "e2", "a")
-		time.Sleep(refutedFor - time.Millisecond)
+		time.Sleep(notLoadedTTL - time.Millisecond)
 		assert.DeepEqual(t, view.Engines("pool", pool, "a"), []resource.Engine{{Name: "e1"}})
 		time.Sleep(time.Millisecond)
 		assert.Equal(t, len(view.Engines("pool", pool, "a")), 2)
@@ -66,34 +66,33 @@
 	})
 }
 
-// askedEngines counts how often each engine was asked; each has model "b".
-type askedEngines map[string]int
+// pollCounter is a Loader that counts the polls of each engine; all engines have loaded model "b".
+type pollCounter map[string]int
 
-func (a askedEngines) Order(context.Context, engine.Target, engine.Order) error { return nil }
+func (p pollCounter) Order(context.Context, engine.Target, engine.Order) error { return nil }
 
-func (a askedEngines) ModelState(_ context.Context, target engine.Target) (engine.ModelState, error) {
-	a[target.Name]++
+func (p pollCounter) ModelState(_ context.Context, target engine.Target) (engine.ModelState, error) {
+	p[target.Name]++
 	return engine.ModelState{Token: 1, Model: "b"}, nil
 }
 
-// TestRefutedEngineIsAskedAnew: who decides asks an engine for its model as soon as a node reports that it
-// lacks what its record tells, once for each report, and no other engine.
-func TestRefutedEngineIsAskedAnew(t *testing.T) {
-	asked := make(askedEngines)
-	manager := &Manager{options: Options{Loader: asked, Logger: events.Discard()}, reports: newDemandTable()}
-	control := newController(manager, "pool", 1, 1)
+// A report that an engine has not loaded its model causes one early poll of that engine and of no other.
+func TestNotLoadedEngineIsPolledAgain(t *testing.T) {
+	polls := make(pollCounter)
+	manager := &Manager{options: Options{Loader: polls, Logger: events.Discard()}, reports: newDemandTable()}
+	ctrl := newController(manager, "pool", 1, 1)
 	targets := []resource.Engine{{Name: "e1"}}
-	ask := func(after time.Duration) {
-		control.ask(t.Context(), targets, manager.reports.refuted("pool"), start.Add(after))
+	pollEngines := func(after time.Duration) {
+		ctrl.pollEngines(t.Context(), targets, manager.reports.notLoaded("pool"), start.Add(after))
 	}
-	ask(0)
-	ask(time.Second)
-	assert.Equal(t, asked["e1"], 1)
+	pollEngines(0)
+	pollEngines(time.Second)
+	assert.Equal(t, polls["e1"], 1)
 
-	report := demandReport{PoolDemand: PoolDemand{Pool: "pool"}, Node: "n1", Refuted: []string{"e1"}, IntervalMillis: 1000}
-	manager.reports.note(report, start.Add(2*time.Second))
+	report := demandReport{PoolDemand: PoolDemand{Pool: "pool"}, Node: "n1", NotLoaded: []string{"e1"}, IntervalMillis: 1000}
+	manager.reports.add(report, start.Add(2*time.Second))
 	targets = append(targets, resource.Engine{Name: "e2"})
-	ask(3 * time.Second)
-	ask(4 * time.Second)
-	assert.DeepEqual(t, asked, askedEngines{"e1": 2, "e2": 1})
+	pollEngines(3 * time.Second)
+	pollEngines(4 * time.Second)
+	assert.DeepEqual(t, polls, pollCounter{"e1": 2, "e2": 1})
 }
