--- a/internal/engine/application.go
+++ b/internal/engine/application.go
@@ -12,10 +12,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ApplicationRequest is one attempt of a call of an application engine.
+// ApplicationRequest is one attempt of a call to an application engine.
 type ApplicationRequest struct {
 	Method string
-	// Path and Query are what follows the service's prefix.
+	// Path is relative to the engine's URL; Query is the raw query string.
 	Path    string
 	Query   string
 	Header  http.Header
@@ -25,7 +25,7 @@
 	Attempt int
 }
 
-// ApplicationResponse is a whole answer; it is held until its commit.
+// ApplicationResponse is a complete response. Hop-by-hop headers are removed.
 type ApplicationResponse struct {
 	Status  int
 	Header  http.Header
@@ -33,44 +33,44 @@
 	Body    []byte
 }
 
-// ErrResponseTooLarge means that an answer is over the limit.
+// ErrResponseTooLarge means that the body of a response is longer than Limit bytes.
 type ErrResponseTooLarge struct{ Limit int64 }
 
 // Error implements error.
 func (e *ErrResponseTooLarge) Error() string {
-	return "the back end's answer is over " + strconv.FormatInt(e.Limit, 10) + " bytes"
+	return "the engine's response exceeds " + strconv.FormatInt(e.Limit, 10) + " bytes"
 }
 
-// MaxResponseBytes bounds an application engine's answer, for it is stored.
+// MaxResponseBytes bounds the body of an application engine's response, which is held in memory and stored.
 const MaxResponseBytes = 4 << 20
 
-// Application reaches application engines.
+// Application sends calls to application engines over HTTP.
 type Application struct {
 	transport http.RoundTripper
 }
 
-// NewApplication returns the adapter.
+// NewApplication returns an Application with its own connection pool.
 func NewApplication() *Application { return &Application{transport: newHTTPTransport()} }
 
-// hopByHop are the headers that belong to one connection (RFC 9110, section 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders lists the headers that apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripHopByHop removes what must not be forwarded, also what Connection names.
+// StripHopByHop removes the headers that must not be forwarded, including those listed in Connection.
 func StripHopByHop(header http.Header) {
 	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
 
-// Do sends a request once and reads the whole answer. Errors: *ErrNotSent, *ErrInterrupted,
+// Do sends a request at most once and reads the complete response. Errors: *ErrNotSent, *ErrInterrupted,
 // *ErrResponseTooLarge.
 func (a *Application) Do(ctx context.Context, target Target, request ApplicationRequest) (*ApplicationResponse, error) {
 	httpRequest, err := buildApplicationRequest(ctx, target, request)
@@ -100,7 +100,7 @@
 	}
 	address := base.JoinPath(request.Path)
 	address.RawQuery = request.Query
-	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, address.String(), onceBody{bytes.NewReader(request.Body)})
+	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, address.String(), unreplayableBody{bytes.NewReader(request.Body)})
 	if err != nil {
 		return nil, errors.Wrap(err, "building the request")
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,19 +14,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// breakingServer answers the first request of each connection and breaks the connection when it
-// gets a second one: the moment at which net/http would send a request again by itself.
-type breakingServer struct {
+// disconnectingServer responds to the first request of each connection and closes the connection on the second one, which
+// makes net/http replay requests automatically.
+type disconnectingServer struct {
 	listener net.Listener
 	mutex    sync.Mutex
 	requests int
 }
 
-func newBreakingServer(t *testing.T) *breakingServer {
+func newDisconnectingServer(t *testing.T) *disconnectingServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	server := &breakingServer{listener: listener}
+	server := &disconnectingServer{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -40,7 +40,7 @@
 	return server
 }
 
-func (s *breakingServer) serve(connection net.Conn) {
+func (s *disconnectingServer) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for number := 1; ; number++ {
@@ -59,15 +59,14 @@
 	}
 }
 
-func (s *breakingServer) count() int {
+func (s *disconnectingServer) count() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.requests
 }
 
-// TestNoSilentReplay: each request reaches the engine once, whatever its method and headers, though
-// the connection breaks in the way that makes net/http replay.
-func TestNoSilentReplay(t *testing.T) {
+// A request must reach the engine only once, whatever its method and headers, even if a reused connection breaks.
+func TestRequestIsNotReplayed(t *testing.T) {
 	requests := map[string]ApplicationRequest{
 		"GET":                  {Method: http.MethodGet},
 		"GET with a key":       {Method: http.MethodGet, Header: http.Header{"Idempotency-Key": {"k"}}},
@@ -79,19 +78,19 @@
 	}
 	for name, request := range requests {
 		t.Run(name, func(t *testing.T) {
-			server := newBreakingServer(t)
+			server := newDisconnectingServer(t)
 			target := Target{URL: "http://" + server.listener.Addr().String()}
 			application := NewApplication()
 			_, err := application.Do(t.Context(), target, request)
 			assert.NilError(t, err)
 			_, err = application.Do(t.Context(), target, request)
-			var broken *ErrInterrupted
-			assert.Assert(t, errors.As(err, &broken), "%v", err)
+			var interrupted *ErrInterrupted
+			assert.Assert(t, errors.As(err, &interrupted), "%v", err)
 			assert.Equal(t, server.count(), 2)
 		})
 	}
-	t.Run("net/http by itself", func(t *testing.T) {
-		server := newBreakingServer(t)
+	t.Run("net/http replays", func(t *testing.T) {
+		server := newDisconnectingServer(t)
 		client := &http.Client{Transport: &http.Transport{}}
 		for range 2 {
 			response, err := client.Get("http://" + server.listener.Addr().String())
@@ -99,22 +98,22 @@
 			_, _ = io.Copy(io.Discard, response.Body)
 			_ = response.Body.Close()
 		}
-		assert.Equal(t, server.count(), 3, "net/http has replayed, so that this test can fail")
+		assert.Equal(t, server.count(), 3, "want a replay by net/http, or the other cases prove nothing")
 	})
 }
 
-func TestUndeliveredOnlyIfNothingWasSent(t *testing.T) {
+func TestNotSentOnlyIfNothingWasSent(t *testing.T) {
 	_, err := NewApplication().Do(t.Context(), Target{URL: "http://127.0.0.1:1"}, ApplicationRequest{Method: http.MethodPost})
-	var undelivered *ErrNotSent
-	assert.Assert(t, errors.As(err, &undelivered), "%v", err)
+	var notSent *ErrNotSent
+	assert.Assert(t, errors.As(err, &notSent), "%v", err)
 }
 
-// TestOversizedAnswerIsRefused bounds what a back end can make a node hold.
-func TestOversizedAnswerIsRefused(t *testing.T) {
+// The size of a response must be bounded, as it is held in memory.
+func TestOversizedResponseIsError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.Copy(w, io.LimitReader(zeroes{}, MaxResponseBytes+1))
+		_, _ = io.Copy(w, io.LimitReader(zeroReader{}, MaxResponseBytes+1))
 	})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
@@ -123,9 +122,9 @@
 	assert.Assert(t, errors.As(err, &tooLarge), "%v", err)
 }
 
-type zeroes struct{}
+type zeroReader struct{}
 
-func (zeroes) Read(data []byte) (int, error) { return len(data), nil }
+func (zeroReader) Read(data []byte) (int, error) { return len(data), nil }
 
 func streamOf(text string) *eventStream {
 	scanner := bufio.NewScanner(strings.NewReader(text))
@@ -133,7 +132,7 @@
 	return &eventStream{body: io.NopCloser(strings.NewReader("")), scanner: scanner}
 }
 
-// readAll returns the text of a stream and how it ended.
+// readAll returns the text of a stream and the error that ended it.
 func readAll(stream *eventStream) (string, error) {
 	var text strings.Builder
 	for {
@@ -145,55 +144,54 @@
 	}
 }
 
-func TestStreamIsWholeOnlyWithItsEnd(t *testing.T) {
-	piece := `data: {"choices":[{"delta":{"content":"a"}}]}` + "\n\n"
-	finish := `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\n"
-	done := "data: [DONE]\n\n"
-	text, err := readAll(streamOf(": comment\n\n" + piece + piece + finish + done))
+func TestStreamNeedsFinishReasonAndDoneMarker(t *testing.T) {
+	chunkEvent := `data: {"choices":[{"delta":{"content":"a"}}]}` + "\n\n"
+	finishEvent := `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\n"
+	doneEvent := "data: [DONE]\n\n"
+	text, err := readAll(streamOf(": comment\n\n" + chunkEvent + chunkEvent + finishEvent + doneEvent))
 	assert.Equal(t, text, "aa")
 	assert.Equal(t, err, io.EOF)
-	cutOff := map[string]string{
-		"no end":            piece + finish,
-		"no finish reason":  piece + done,
-		"garbled":           piece + "data: {\n\n" + finish + done,
-		"error in mid-air":  piece + `data: {"error":{"message":"out of memory"}}` + "\n\n" + done,
-		"nothing":           "",
-		"event over limits": "data: " + strings.Repeat("x", maxEventBytes+1),
+	incomplete := map[string]string{
+		"no done marker":   chunkEvent + finishEvent,
+		"no finish reason": chunkEvent + doneEvent,
+		"invalid JSON":     chunkEvent + "data: {\n\n" + finishEvent + doneEvent,
+		"error event":      chunkEvent + `data: {"error":{"message":"out of memory"}}` + "\n\n" + doneEvent,
+		"empty":            "",
+		"event too long":   "data: " + strings.Repeat("x", maxEventBytes+1),
 
-		"end alone":                     done,
-		"empty finish reason":           `data: {"choices":[{"delta":{"content":"a"},"finish_reason":""}]}` + "\n\n" + done,
-		"given up by the engine":        piece + `data: {"choices":[{"delta":{},"finish_reason":"abort"}]}` + "\n\n" + done,
-		"failed in the engine":          piece + `data: {"choices":[{"delta":{},"finish_reason":"error"}]}` + "\n\n" + done,
-		"error as a text":               piece + `data: {"error":"out of memory"}` + "\n\n" + finish + done,
-		"error after the finish reason": piece + finish + `data: {"error":{"message":"x"}}` + "\n\n" + done,
-		"two choices":                   `data: {"choices":[{"index":0,"delta":{"content":"a"}},{"index":1,"delta":{"content":"b"}}]}` + "\n\n" + finish + done,
-		"another choice":                piece + `data: {"choices":[{"index":1,"delta":{"content":"b"}}]}` + "\n\n" + finish + done,
-		"a piece after the finish":      piece + finish + piece + done,
-		"part of the end mark":          piece + finish + "data: [DON",
-		"part of an event":              piece + `data: {"choices":[{"delta":{"content":"a"},"finish_re`,
-		"a page":                        "<html><body>[DONE]</body></html>\n",
-		"a failure's body":              `{"error":{"message":"out of memory"}}` + "\n" + done,
-		"a whole answer as one object":  `{"choices":[{"message":{"content":"a"},"finish_reason":"stop"}]}`,
+		"done marker only":                doneEvent,
+		"empty finish reason":             `data: {"choices":[{"delta":{"content":"a"},"finish_reason":""}]}` + "\n\n" + doneEvent,
+		"aborted by the engine":           chunkEvent + `data: {"choices":[{"delta":{},"finish_reason":"abort"}]}` + "\n\n" + doneEvent,
+		"failed in the engine":            chunkEvent + `data: {"choices":[{"delta":{},"finish_reason":"error"}]}` + "\n\n" + doneEvent,
+		"error as a string":               chunkEvent + `data: {"error":"out of memory"}` + "\n\n" + finishEvent + doneEvent,
+		"error after the finish reason":   chunkEvent + finishEvent + `data: {"error":{"message":"x"}}` + "\n\n" + doneEvent,
+		"two choices":                     `data: {"choices":[{"index":0,"delta":{"content":"a"}},{"index":1,"delta":{"content":"b"}}]}` + "\n\n" + finishEvent + doneEvent,
+		"wrong choice":                    chunkEvent + `data: {"choices":[{"index":1,"delta":{"content":"b"}}]}` + "\n\n" + finishEvent + doneEvent,
+		"content after the finish reason": chunkEvent + finishEvent + chunkEvent + doneEvent,
+		"partial done marker":             chunkEvent + finishEvent + "data: [DON",
+		"partial event":                   chunkEvent + `data: {"choices":[{"delta":{"content":"a"},"finish_re`,
+		"HTML page":                       "<html><body>[DONE]</body></html>\n",
+		"error body":                      `{"error":{"message":"out of memory"}}` + "\n" + doneEvent,
+		"response that is not streamed":   `{"choices":[{"message":{"content":"a"},"finish_reason":"stop"}]}`,
 	}
-	for name, input := range cutOff {
+	for name, input := range incomplete {
 		t.Run(name, func(t *testing.T) {
 			_, err := readAll(streamOf(input))
-			var broken *ErrInterrupted
-			assert.Assert(t, errors.As(err, &broken), "%v", err)
+			var interrupted *ErrInterrupted
+			assert.Assert(t, errors.As(err, &interrupted), "%v", err)
 		})
 	}
 }
 
-// FuzzEventStream gives the decoder whatever an engine may send: it ends, and never with a whole
-// answer unless the end was there.
+// FuzzEventStream checks that arbitrary input ends, and counts as complete only if it contains the done marker.
 func FuzzEventStream(f *testing.F) {
 	f.Add(`data: {"choices":[{"delta":{"content":"a"},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n")
 	f.Add(`data: {"choices":[{"delta":{"tool_calls":[{"index":-5}]}}]}` + "\n")
 	f.Add("data: [DONE]\n\n")
 	f.Fuzz(func(t *testing.T, input string) {
 		_, err := readAll(streamOf(input))
-		if errors.Is(err, io.EOF) && !strings.Contains(input, endOfStream) {
-			t.Fatal("a cut-off stream counted as whole")
+		if errors.Is(err, io.EOF) && !strings.Contains(input, doneMarker) {
+			t.Fatal("an incomplete stream counted as complete")
 		}
 	})
 }
@@ -209,22 +207,22 @@
 	})
 }
 
-func TestHopByHopHeadersStayBehind(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	header := http.Header{"Connection": {"X-One, X-Two"}, "X-One": {"1"}, "X-Two": {"2"}, "Keep-Alive": {"x"}, "Te": {"trailers"}, "X-Kept": {"3"}}
 	StripHopByHop(header)
 	assert.DeepEqual(t, header, http.Header{"X-Kept": {"3"}})
 }
 
-// TestCancelReachesTheEngine: a caller that leaves ends the engine's work.
-func TestCancelReachesTheEngine(t *testing.T) {
+// Cancelling a call must cancel the request at the engine.
+func TestCancelClosesEngineRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	left := make(chan struct{})
+	cancelled := make(chan struct{})
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
@@ -235,11 +233,11 @@
 	_, err = stream.Next()
 	assert.Assert(t, err != nil)
 	stream.Close()
-	<-left
+	<-cancelled
 }
 
-// TestTrailersArrive passes a back end's trailers on.
-func TestTrailersArrive(t *testing.T) {
+// The trailers of an application's response must be returned.
+func TestTrailersAreReturned(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -249,14 +247,14 @@
 	})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	answer, err := NewApplication().Do(t.Context(), Target{URL: "http://" + listener.Addr().String()}, ApplicationRequest{Method: http.MethodGet})
+	response, err := NewApplication().Do(t.Context(), Target{URL: "http://" + listener.Addr().String()}, ApplicationRequest{Method: http.MethodGet})
 	assert.NilError(t, err)
-	assert.Equal(t, answer.Trailer.Get("X-Checksum"), "abc")
-	assert.Equal(t, string(answer.Body), "body")
+	assert.Equal(t, response.Trailer.Get("X-Checksum"), "abc")
+	assert.Equal(t, string(response.Body), "body")
 }
 
-// TestNullToolCallsAreNone: an event that only names the member has no piece of a tool call, which would be counted.
-func TestNullToolCallsAreNone(t *testing.T) {
+// A null tool_calls member must not count as a tool call.
+func TestNullToolCallsAreIgnored(t *testing.T) {
 	delta, err := streamOf(`data: {"choices":[{"delta":{"role":"assistant","tool_calls":null}}]}` + "\n").Next()
 	assert.NilError(t, err)
 	assert.Equal(t, len(delta.ToolCalls), 0)
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -16,7 +16,7 @@
 	"github.com/mountstile/mountstile/internal/program"
 )
 
-// Paths of model engines.
+// Paths of the model engines' API.
 const (
 	ChatPath    = "/v1/chat/completions"
 	ReleasePath = "/v1/cache/release"
@@ -27,42 +27,43 @@
 	maxEventBytes  = 1 << 20
 	maxErrorBytes  = 2 << 10
 	eventPrefix    = "data:"
-	endOfStream    = "[DONE]"
+	doneMarker     = "[DONE]"
 	assistantRole  = "assistant"
 	jsonMediaType  = "application/json"
 	jsonNull       = "null"
 	maxDrainedBody = 64 << 10
 )
 
-// OpenAI reaches model engines through the chat-completions API. A continued answer uses
-// continue_final_message, as vLLM defines it.
+// OpenAI implements ModelEngine and Loader over the chat-completions API. To continue an interrupted response it uses
+// vLLM's continue_final_message extension.
 type OpenAI struct {
 	transport http.RoundTripper
 }
 
-// NewOpenAI returns the adapter.
+// NewOpenAI returns an OpenAI with its own connection pool.
 func NewOpenAI() *OpenAI { return &OpenAI{transport: newHTTPTransport()} }
 
-// streamOptions asks for token counts in the last event.
+// streamOptions is the stream_options member; IncludeUsage requests token counts in the last event.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// AssistantMessage is the chat-completions form of an answer.
+// AssistantMessage is a response in the form of a chat-completions message.
 type AssistantMessage struct {
 	Role      string          `json:"role"`
 	Content   *string         `json:"content"`
 	ToolCalls json.RawMessage `json:"tool_calls,omitempty"`
 }
 
-// NewAssistantMessage encodes an answer as a history message.
+// NewAssistantMessage encodes a response as a message of the conversation history. Content is null if there are only
+// tool calls.
 func NewAssistantMessage(content string, toolCalls json.RawMessage) (program.Message, error) {
 	message := AssistantMessage{Role: assistantRole, Content: &content, ToolCalls: toolCalls}
 	if content == "" && len(toolCalls) > 0 {
 		message.Content = nil
 	}
 	encoded, err := json.Marshal(message)
-	return encoded, errors.Wrap(err, "encoding an answer")
+	return encoded, errors.Wrap(err, "encoding an assistant message")
 }
 
 func encodeChat(request ChatRequest) ([]byte, error) {
@@ -107,7 +108,7 @@
 	if err != nil {
 		return nil, &ErrNotSent{Cause: err}
 	}
-	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, target.URL+ChatPath, onceBody{bytes.NewReader(body)})
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, target.URL+ChatPath, unreplayableBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, &ErrNotSent{Cause: err}
 	}
@@ -122,7 +123,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		defer drain(response.Body)
+		defer drainAndClose(response.Body)
 		if response.StatusCode == http.StatusNotFound {
 			return nil, &ErrModelNotLoaded{Model: request.Model}
 		}
@@ -134,13 +135,13 @@
 	return &eventStream{body: response.Body, scanner: scanner}, nil
 }
 
-// drain lets a connection be used again if little is left.
-func drain(body io.ReadCloser) {
+// drainAndClose reads a small remainder of the body, so that the connection can be reused, and closes it.
+func drainAndClose(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxDrainedBody)
 	_ = body.Close()
 }
 
-// chunk is one event of a streamed answer.
+// chunk is one event of a streamed response.
 type chunk struct {
 	Model   string        `json:"model"`
 	Choices []chunkChoice `json:"choices"`
@@ -173,25 +174,27 @@
 	Message string `json:"message"`
 }
 
-// errGivenUp means that an engine ended an answer that it did not finish.
-type errGivenUp struct{ FinishReason string }
+// errAborted means that an engine ended a response before it was complete.
+type errAborted struct{ FinishReason string }
 
 // Error implements error.
-func (e *errGivenUp) Error() string { return "the engine ended the answer with " + e.FinishReason }
+func (e *errAborted) Error() string {
+	return "the engine aborted the response with finish reason " + e.FinishReason
+}
 
-// Finish reasons of vLLM for answers that are not whole; OpenAI's API has none for that.
+// vLLM's finish reasons for incomplete responses; the OpenAI API defines none.
 const (
 	finishAbort = "abort"
 	finishError = "error"
 )
 
-// errGarbled means that an engine's event can't be decoded.
-type errGarbled struct{ Event string }
+// errInvalidEvent means that an engine sent an event that is malformed, unexpected or an error.
+type errInvalidEvent struct{ Detail string }
 
 // Error implements error.
-func (e *errGarbled) Error() string { return "undecodable event: " + e.Event }
+func (e *errInvalidEvent) Error() string { return "invalid event: " + e.Detail }
 
-// eventStream decodes server-sent events.
+// eventStream implements Stream on a body of server-sent events.
 type eventStream struct {
 	body     io.ReadCloser
 	scanner  *bufio.Scanner
@@ -207,7 +210,7 @@
 			continue
 		}
 		payload = strings.TrimSpace(payload)
-		if payload == endOfStream {
+		if payload == doneMarker {
 			s.ended = true
 			if !s.finished {
 				return Delta{}, &ErrInterrupted{Cause: io.ErrUnexpectedEOF}
@@ -222,15 +225,15 @@
 	return Delta{}, &ErrInterrupted{Cause: io.ErrUnexpectedEOF}
 }
 
-const shownEventBytes = 80
+const maxQuotedEventBytes = 80
 
 func (s *eventStream) decode(payload string) (Delta, error) {
 	var event chunk
 	if err := json.Unmarshal([]byte(payload), &event); err != nil {
-		return Delta{}, &ErrInterrupted{Cause: &errGarbled{Event: payload[:min(len(payload), shownEventBytes)]}}
+		return Delta{}, &ErrInterrupted{Cause: &errInvalidEvent{Detail: payload[:min(len(payload), maxQuotedEventBytes)]}}
 	}
 	if event.Error != nil {
-		return Delta{}, &ErrInterrupted{Cause: &errGarbled{Event: event.Error.Message}}
+		return Delta{}, &ErrInterrupted{Cause: &errInvalidEvent{Detail: event.Error.Message}}
 	}
 	delta := Delta{Model: event.Model}
 	for _, choice := range event.Choices {
@@ -247,43 +250,43 @@
 	return delta, nil
 }
 
-// decodeChoice adds a choice to delta. One choice was asked for: pieces of another, or after the end of this one, belong
-// to another answer.
+// decodeChoice adds a choice to delta. Only one choice was requested, so content of another one or after the finish reason
+// is an error.
 func (s *eventStream) decodeChoice(choice chunkChoice, delta *Delta) error {
 	if choice.Index != 0 {
-		return &errGarbled{Event: "a piece of choice " + strconv.Itoa(choice.Index)}
+		return &errInvalidEvent{Detail: "content of choice " + strconv.Itoa(choice.Index)}
 	}
 	content := ""
 	if choice.Delta.Content != nil {
 		content = *choice.Delta.Content
 	}
 	if s.finished && content != "" {
-		return &errGarbled{Event: "a piece after the finish reason"}
+		return &errInvalidEvent{Detail: "content after the finish reason"}
 	}
 	delta.Content += content
 	if calls := choice.Delta.ToolCalls; len(calls) > 0 && string(calls) != jsonNull {
 		delta.ToolCalls = calls
 	}
-	return s.noteFinish(choice.FinishReason, delta)
+	return s.setFinishReason(choice.FinishReason, delta)
 }
 
-// noteFinish takes a finish reason. Some engines write an empty one into each event.
-func (s *eventStream) noteFinish(reason *string, delta *Delta) error {
+// setFinishReason stores a finish reason. An empty one is ignored, as some engines send it in each event.
+func (s *eventStream) setFinishReason(reason *string, delta *Delta) error {
 	if reason == nil || *reason == "" {
 		return nil
 	}
 	if *reason == finishAbort || *reason == finishError {
-		return &errGivenUp{FinishReason: *reason}
+		return &errAborted{FinishReason: *reason}
 	}
 	delta.FinishReason = *reason
 	s.finished = true
 	return nil
 }
 
-// Close implements Stream; it cancels an answer that has not ended.
+// Close implements Stream. Closing the body of a response that has not ended cancels the request.
 func (s *eventStream) Close() {
 	if s.ended {
-		drain(s.body)
+		drainAndClose(s.body)
 		return
 	}
 	_ = s.body.Close()
@@ -297,18 +300,18 @@
 func (o *OpenAI) ReleaseCache(ctx context.Context, target Target, programID string) error {
 	body, err := json.Marshal(releaseRequest{Program: programID})
 	if err != nil {
-		return errors.Wrap(err, "encoding the release")
+		return errors.Wrap(err, "encoding the release request")
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target.URL+ReleasePath, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "building the release")
+		return errors.Wrap(err, "building the release request")
 	}
 	request.Header.Set("Content-Type", jsonMediaType)
 	response, err := o.transport.RoundTrip(request)
 	if err != nil {
 		return &ErrInterrupted{Cause: err}
 	}
-	defer drain(response.Body)
+	defer drainAndClose(response.Body)
 	if response.StatusCode != http.StatusOK {
 		return &ErrStatus{Status: response.StatusCode}
 	}
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -17,13 +17,13 @@
 	if err != nil {
 		return errors.Wrap(err, "encoding an order")
 	}
-	_, err = o.exchangeOrder(ctx, http.MethodPost, target, body)
+	_, err = o.sendOrder(ctx, http.MethodPost, target, body)
 	return err
 }
 
 // ModelState implements Loader.
 func (o *OpenAI) ModelState(ctx context.Context, target Target) (ModelState, error) {
-	return o.exchangeOrder(ctx, http.MethodGet, target, nil)
+	return o.sendOrder(ctx, http.MethodGet, target, nil)
 }
 
 func decodeModelState(body io.Reader) (ModelState, error) {
@@ -32,22 +32,22 @@
 		return ModelState{}, err
 	}
 	if state.Token > MaxToken {
-		return ModelState{}, &errGarbled{Event: "token " + strconv.FormatUint(state.Token, 10)}
+		return ModelState{}, &errInvalidEvent{Detail: "token " + strconv.FormatUint(state.Token, 10)}
 	}
 	return state, nil
 }
 
-func (o *OpenAI) exchangeOrder(ctx context.Context, method string, target Target, body []byte) (ModelState, error) {
+func (o *OpenAI) sendOrder(ctx context.Context, method string, target Target, body []byte) (ModelState, error) {
 	request, err := http.NewRequestWithContext(ctx, method, target.URL+OrdersPath, bytes.NewReader(body))
 	if err != nil {
-		return ModelState{}, errors.Wrap(err, "building an order")
+		return ModelState{}, errors.Wrap(err, "building an order request")
 	}
 	request.Header.Set("Content-Type", jsonMediaType)
 	response, err := o.transport.RoundTrip(request)
 	if err != nil {
 		return ModelState{}, &ErrInterrupted{Cause: err}
 	}
-	defer drain(response.Body)
+	defer drainAndClose(response.Body)
 	if response.StatusCode >= http.StatusMultipleChoices && response.StatusCode != http.StatusConflict {
 		return ModelState{}, &ErrStatus{Status: response.StatusCode}
 	}
--- a/internal/engine/once.go
+++ b/internal/engine/roundtrip.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Headers that tell an engine what it serves; engines that do not know them ignore them.
+// Request headers that identify the call to the engine.
 const (
 	HeaderProgram = "X-Mountstile-Program"
 	HeaderCall    = "X-Mountstile-Call"
@@ -34,15 +34,15 @@
 	}
 }
 
-// onceBody is a request body that net/http can't rewind and does not take for an empty one.
-// net/http replays a request by itself on a broken reused connection if it has no body or can get
-// the body again; with this it never does. A test proves it.
-type onceBody struct{ io.Reader }
+// unreplayableBody keeps net/http from resending a request. On a broken reused connection, net/http automatically replays
+// requests whose body is empty or can be recreated; this type is neither known to be empty nor rewindable.
+type unreplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (unreplayableBody) Close() error { return nil }
 
-// sendOnce sends a request at most once, and tells whether any of it may have left.
+// sendOnce sends a request at most once. It returns *ErrInterrupted if any part of it may have been sent and *ErrNotSent
+// if not.
 func sendOnce(ctx context.Context, transport http.RoundTripper, request *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
