--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a node's settings file. It is strict: unknown fields and values out of
-// range are refused with file, line and field. docs/CONFIGURATION.md lists each field.
+// Package settings reads and validates a node's settings file. Unknown fields and values out of range are errors, which
+// name the file, the field and, for decoding errors, the line. docs/CONFIGURATION.md lists all fields.
 package settings
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// Listener is where a node listens, and where others reach that.
+// Listener is the listen address of one of a node's servers and the address that it advertises to others.
 type Listener struct {
 	Listen string `yaml:"listen"`
-	// Advertise is what others dial; empty means Listen.
+	// Advertise is the address that others dial; empty means Listen.
 	Advertise string `yaml:"advertise"`
 }
 
-// Address returns what others dial.
+// Address returns the address that others dial.
 func (l Listener) Address() string {
 	if l.Advertise != "" {
 		return l.Advertise
@@ -32,29 +32,29 @@
 	return l.Listen
 }
 
-// TLS names the files for mutual TLS between nodes.
+// TLS holds the paths of the files for mutual TLS between nodes.
 type TLS struct {
 	Authority   string `yaml:"authority"`
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
-	// Insecure allows plain TCP between nodes.
+	// Insecure permits plain TCP between nodes. It excludes the files.
 	Insecure bool `yaml:"insecure"`
 }
 
-// Store is the platform's key-value service.
+// Store configures the connection to the platform's key-value store.
 type Store struct {
 	Endpoint       string  `yaml:"endpoint"`
 	TimeoutSeconds float64 `yaml:"timeoutSeconds"`
 }
 
-// Machines is the platform's list of live and leaving machines; without an endpoint it is not read.
+// Machines configures the platform's list of live and leaving machines. It isn't read if Endpoint is empty.
 type Machines struct {
 	Endpoint string `yaml:"endpoint"`
-	// Machine is this node's machine in the list.
+	// Machine is the name of this node's machine in the list.
 	Machine string `yaml:"machine"`
 }
 
-// Settings are one node's.
+// Settings holds the settings of one node.
 type Settings struct {
 	Name    string   `yaml:"name"`
 	Cluster string   `yaml:"cluster"`
@@ -63,33 +63,32 @@
 	Peer    Listener `yaml:"peer"`
 	API     Listener `yaml:"api"`
 	Admin   Listener `yaml:"admin"`
-	// Seeds are peer addresses through which the node joins.
+	// Seeds lists peer addresses of nodes through which this one joins the cluster.
 	Seeds []string `yaml:"seeds"`
-	// Routes replace addresses of other nodes before they are dialled, where this node reaches
-	// them by another way than they advertise.
+	// Routes maps advertised addresses of other nodes to the addresses that this node dials instead.
 	Routes map[string]string `yaml:"routes"`
 	Store  Store             `yaml:"store"`
-	// Machines may make the node begin its own planned stop.
+	// Machines makes the node begin a planned stop when its machine is listed as leaving.
 	Machines Machines `yaml:"machines"`
 	TLS      TLS      `yaml:"tls"`
-	// DataFolder keeps program state and configuration over restarts; empty means memory only.
+	// DataFolder is where program state and configuration are persisted; empty means that they are held in memory only.
 	DataFolder string `yaml:"dataFolder"`
-	// AdminKeys are the platform administrators' and readers'.
+	// AdminKeys holds the API keys of the platform's administrators and readers.
 	AdminKeys []resource.APIKey `yaml:"adminKeys"`
-	// InitialNodes must be there before a region's programs are placed for the first time.
+	// InitialNodes is the number of nodes that must have joined before a region's programs are first placed.
 	InitialNodes int `yaml:"initialNodes"`
-	// Partitions is how many a new region gets.
+	// Partitions is the number of partitions of a new region.
 	Partitions int `yaml:"partitions"`
-	// RepairSeconds is how long a node must be dead before its replicas are replaced.
+	// RepairSeconds is how long a node must have been dead before its replicas are replaced.
 	RepairSeconds float64 `yaml:"repairSeconds"`
-	// MaxBodyBytes bounds callers' requests.
+	// MaxBodyBytes bounds the bodies of callers' requests.
 	MaxBodyBytes int64 `yaml:"maxBodyBytes"`
-	// DrainSeconds is how long a planned stop waits for requests under way.
+	// DrainSeconds is how long a planned stop waits for running requests.
 	DrainSeconds float64 `yaml:"drainSeconds"`
 	LogLevel     string  `yaml:"logLevel"`
 }
 
-// Default returns the settings of a field that is not set.
+// Default returns the settings that apply where a file sets no value.
 func Default() Settings {
 	return Settings{
 		Cluster:       "mountstile",
@@ -108,7 +107,7 @@
 	}
 }
 
-// Error is one thing wrong with a settings file.
+// Error is an error in a settings file. Line is 0 if it is unknown.
 type Error struct {
 	File   string
 	Line   int
@@ -124,16 +123,16 @@
 	return fmt.Sprintf("%s: %s: %s", e.File, e.Field, e.Reason)
 }
 
-// Load reads and checks a file.
+// Load reads a file and validates its settings; see Parse.
 func Load(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, errors.Wrap(err, "reading settings")
+		return Settings{}, errors.Wrap(err, "reading the settings file")
 	}
 	return Parse(path, content)
 }
 
-// Parse decodes and checks settings over the defaults. The error is an *Error.
+// Parse decodes settings over the defaults and validates them. Errors are of type *Error.
 func Parse(path string, content []byte) (Settings, error) {
 	parsed, err := Decode(path, content)
 	if err != nil {
@@ -142,7 +141,7 @@
 	return parsed, parsed.Check(path)
 }
 
-// Decode reads settings over the defaults without checking values.
+// Decode decodes settings over the defaults without validating values. Errors are of type *Error.
 func Decode(path string, content []byte) (Settings, error) {
 	parsed := Default()
 	if len(bytes.TrimSpace(content)) == 0 {
@@ -156,38 +155,38 @@
 }
 
 func decodeError(path string, err error) *Error {
-	result := &Error{File: path, Field: "syntax", Reason: err.Error()}
-	var located yaml.Error
-	if errors.As(err, &located) {
-		result.Reason = located.GetMessage()
-		if token := located.GetToken(); token != nil {
-			result.Line = token.Position.Line
-			result.Field = token.Value
+	converted := &Error{File: path, Field: "syntax", Reason: err.Error()}
+	var yamlError yaml.Error
+	if errors.As(err, &yamlError) {
+		converted.Reason = yamlError.GetMessage()
+		if token := yamlError.GetToken(); token != nil {
+			converted.Line = token.Position.Line
+			converted.Field = token.Value
 		}
 	}
-	return result
+	return converted
 }
 
-// Check validates values; path is used in errors only.
+// Check validates the values and returns the first error found, an *Error. The path is only used in errors.
 func (s Settings) Check(path string) error {
-	problem := func(field, format string, args ...any) error {
+	invalid := func(field, format string, args ...any) error {
 		return &Error{File: path, Field: field, Reason: fmt.Sprintf(format, args...)}
 	}
 	switch {
 	case s.Name == "" || strings.ContainsAny(s.Name, " /\x00"):
-		return problem("name", "is required and has no spaces or slashes")
+		return invalid("name", "is required and must not contain spaces or slashes")
 	case s.Cluster == "":
-		return problem("cluster", "is required")
+		return invalid("cluster", "is required")
 	case s.Zone == "" || s.Region == "":
-		return problem("zone", "zone and region are required")
+		return invalid("zone", "zone and region are required")
 	case s.InitialNodes < 1:
-		return problem("initialNodes", "must be 1 or more")
+		return invalid("initialNodes", "must be 1 or more")
 	case s.Partitions < 1 || s.Partitions > 1<<16-1:
-		return problem("partitions", "must be from 1 to 65535")
+		return invalid("partitions", "must be from 1 to 65535")
 	case s.RepairSeconds <= 0 || s.DrainSeconds <= 0 || s.Store.TimeoutSeconds <= 0:
-		return problem("repairSeconds", "repairSeconds, drainSeconds and store.timeoutSeconds must be above 0")
+		return invalid("repairSeconds", "repairSeconds, drainSeconds and store.timeoutSeconds must be above 0")
 	case s.MaxBodyBytes < 1<<10:
-		return problem("maxBodyBytes", "must be 1024 or more")
+		return invalid("maxBodyBytes", "must be 1024 or more")
 	}
 	listeners := []struct {
 		field    string
@@ -195,41 +194,41 @@
 	}{{"peer", s.Peer}, {"api", s.API}, {"admin", s.Admin}}
 	for _, item := range listeners {
 		if _, _, err := net.SplitHostPort(item.listener.Listen); err != nil {
-			return problem(item.field+".listen", "%s", err)
+			return invalid(item.field+".listen", "%s", err)
 		}
 	}
 	for index, seed := range s.Seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
-			return problem(fmt.Sprintf("seeds[%d]", index), "%s", err)
+			return invalid(fmt.Sprintf("seeds[%d]", index), "%s", err)
 		}
 	}
 	if endpoint, err := url.Parse(s.Store.Endpoint); err != nil || endpoint.Host == "" {
-		return problem("store.endpoint", "%q is not a URL", s.Store.Endpoint)
+		return invalid("store.endpoint", "%q is not an absolute URL", s.Store.Endpoint)
 	}
 	if (s.Machines.Endpoint == "") != (s.Machines.Machine == "") {
-		return problem("machines", "endpoint and machine belong together")
+		return invalid("machines", "endpoint and machine must be set together")
 	}
 	if _, err := logrus.ParseLevel(s.LogLevel); err != nil {
-		return problem("logLevel", "%s", err)
+		return invalid("logLevel", "%s", err)
 	}
-	return s.checkTLS(problem)
+	return s.checkTLS(invalid)
 }
 
-func (s Settings) checkTLS(problem func(string, string, ...any) error) error {
+func (s Settings) checkTLS(invalid func(string, string, ...any) error) error {
 	files := []string{s.TLS.Authority, s.TLS.Certificate, s.TLS.Key}
-	set := 0
+	count := 0
 	for _, file := range files {
 		if file != "" {
-			set++
+			count++
 		}
 	}
 	switch {
-	case set == 0 && !s.TLS.Insecure:
-		return problem("tls", "name authority, certificate and key, or allow plain traffic between nodes with insecure: true")
-	case set > 0 && s.TLS.Insecure:
-		return problem("tls.insecure", "is set together with certificate files")
-	case set > 0 && set < len(files):
-		return problem("tls", "authority, certificate and key belong together")
+	case count == 0 && !s.TLS.Insecure:
+		return invalid("tls", "set authority, certificate and key, or insecure: true to permit plain TCP between nodes")
+	case count > 0 && s.TLS.Insecure:
+		return invalid("tls.insecure", "must not be set together with certificate files")
+	case count > 0 && count < len(files):
+		return invalid("tls", "authority, certificate and key must be set together")
 	}
 	return nil
 }
