--- a/internal/turnstore/retry.go
+++ b/internal/turnstore/retry.go
@@ -32,7 +32,7 @@
 	replies := make(chan reply, maxAttempts)
 	renewed := make(chan struct{}, maxAttempts)
 	send := func() {
-		response, err := transport.CallAround[Response](ctx, network, address, kind, request, relayDelay)
+		response, err := transport.CallWithRelays[Response](ctx, network, address, kind, request, relayDelay)
 		replies <- reply{response, err}
 	}
 	delay := connectionCheckDelay
@@ -62,7 +62,7 @@
 		case <-timer.C:
 			since := sentAt
 			go func() {
-				if network.Renew(ctx, address, connectionCheckDelay, since) {
+				if network.Redial(ctx, address, connectionCheckDelay, since) {
 					renewed <- struct{}{}
 				}
 			}()
