--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -64,12 +64,12 @@
 	Avoid       []string     `json:"avoid,omitempty"`
 	// Spent is what the call costs, in tokens, if it gets no further: that of which its caller has a part.
 	Spent int64 `json:"spent,omitempty"`
-	// Lacking is the engine of the lost attempt if that has refused the call, for it had not loaded the
+	// EngineWithoutModel is the engine of the lost attempt if that has refused the call, for it had not loaded the
 	// model; WaitedMillis is then the response's.
-	Lacking      string `json:"lacking,omitempty"`
-	WaitedMillis int64  `json:"waited_ms,omitempty"`
-	// Refusals counts the call's attempts that have ended so.
-	Refusals int `json:"refusals,omitempty"`
+	EngineWithoutModel string `json:"lacking,omitempty"`
+	WaitedMillis       int64  `json:"waited_ms,omitempty"`
+	// ModelRefusals counts the call's attempts that have ended so.
+	ModelRefusals int `json:"refusals,omitempty"`
 }
 
 // FinishRequest reports an answer.
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -113,7 +113,7 @@
 	if !known || pool.Loading == nil {
 		return false
 	}
-	s.options.Models.Refute(service.Pool, request.Lacking, request.Begin.Admit.Model)
+	s.options.Models.Refute(service.Pool, request.EngineWithoutModel, request.Begin.Admit.Model)
 	return true
 }
 
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -432,8 +432,8 @@
 	if result.Error != nil {
 		return BeginResponse{}, result.Error
 	}
-	if request.Lacking != "" && !s.refuteModel(request) {
-		request.Avoid, request.Lacking = append(request.Avoid, request.Lacking), ""
+	if request.EngineWithoutModel != "" && !s.refuteModel(request) {
+		request.Avoid, request.EngineWithoutModel = append(request.Avoid, request.EngineWithoutModel), ""
 	}
 	if refusal := s.refuseRetry(request, result.Call); refusal != nil {
 		return BeginResponse{}, s.giveUp(ctx, begin, result.Call, refusal)
@@ -452,12 +452,12 @@
 // refuseRetry applies the service's most attempts and the pool's retry budget. An engine that lacks a model
 // costs neither: it has not failed, and after one refusal it is asked no more.
 func (s *Server) refuseRetry(request RetryRequest, call *program.Call) error {
-	if call.State != program.Admitted || request.Lacking != "" {
+	if call.State != program.Admitted || request.EngineWithoutModel != "" {
 		return nil
 	}
 	name := request.Begin.Admit.Service
 	service, known := s.options.Config.Current().Set.Service(name)
-	if failed := call.Attempt - request.Refusals; known && failed >= service.MaxAttempts {
+	if failed := call.Attempt - request.ModelRefusals; known && failed >= service.MaxAttempts {
 		return apierr.New(apierr.EngineFailed, apierr.NotRun, "%d engines failed in a row", failed).WithRetryAfter(time.Second)
 	}
 	if !s.retryBudget(name).Take() {
--- a/internal/coordinator/server_test.go
+++ b/internal/coordinator/server_test.go
@@ -47,9 +47,9 @@
 	message := func() string { return apierr.From(server.refuseRetry(request, call), apierr.Ran).Message }
 
 	assert.Equal(t, message(), "2 engines failed in a row")
-	request.Lacking, request.Refusals = "e", 1
+	request.EngineWithoutModel, request.ModelRefusals = "e", 1
 	assert.NilError(t, server.refuseRetry(request, call))
-	request.Lacking = ""
+	request.EngineWithoutModel = ""
 	assert.Equal(t, message(), "the retry budget of the service is used up", "one engine has failed")
 	server.budgets["s"] = limit.NewRetryBudget(0, 1)
 	assert.NilError(t, server.refuseRetry(request, call))
--- a/internal/gateway/chat_execution.go
+++ b/internal/gateway/chat_execution.go
@@ -90,7 +90,7 @@
 	e.live.close()
 	e.live = nil
 	read := 0
-	e.gateway.options.Live.follow(ctx, response.RunningAt, response.CallID, func(content string, pieces int64) bool {
+	e.gateway.options.AnswerRelay.follow(ctx, response.RunningAt, response.CallID, func(content string, pieces int64) bool {
 		held := e.content.String()[min(read, e.content.Len()):]
 		read += len(content)
 		overlap := min(len(held), len(content))
@@ -227,7 +227,7 @@
 // stream passes an engine's answer on, all but its end.
 func (e *chatExecution) stream(ctx context.Context, w http.ResponseWriter, target engine.Target, response coordinator.BeginResponse) error {
 	if e.live == nil && e.identity.idempotencyKey != "" {
-		e.live = e.gateway.options.Live.publish(response.CallID, e.content.String(), e.usage.completion())
+		e.live = e.gateway.options.AnswerRelay.publish(response.CallID, e.content.String(), e.usage.completion())
 	}
 	messages := append(response.History, e.request.Messages...)
 	e.usage.begin(promptBytes(messages) / program.BytesPerToken)
--- a/internal/gateway/cut_test.go
+++ b/internal/gateway/cut_test.go
@@ -50,7 +50,7 @@
 func TestFollowerJoinsNoTwoAnswers(t *testing.T) {
 	network := transport.New(transport.Options{Cluster: "c", NodeID: "a", Logger: events.Discard()})
 	t.Cleanup(network.Close)
-	live := NewLive(network, membership.NewManager(membership.Member{ID: "a"}, nil, membership.DefaultOptions(), network, events.Discard()))
+	live := NewAnswerRelay(network, membership.NewManager(membership.Member{ID: "a"}, nil, membership.DefaultOptions(), network, events.Discard()))
 	live.publish("call", "", 0).add("first")
 	var got []string
 	live.follow(t.Context(), "a", "call", func(content string, _ int64) bool {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -107,7 +107,7 @@
 }
 
 func (e *execution) retry(response coordinator.BeginResponse, undelivered bool) *coordinator.RetryRequest {
-	return &coordinator.RetryRequest{Begin: e.begin, Attempt: response.Attempt, Undelivered: undelivered, Avoid: e.avoid, Refusals: e.refusals}
+	return &coordinator.RetryRequest{Begin: e.begin, Attempt: response.Attempt, Undelivered: undelivered, Avoid: e.avoid, ModelRefusals: e.refusals}
 }
 
 // retryWithoutModel asks for another attempt after an engine refused the call, for it had not loaded the
@@ -120,7 +120,7 @@
 	}
 	e.refusals++
 	retry := e.retry(response, true)
-	retry.Lacking, retry.WaitedMillis = response.Engine.Name, response.WaitedMillis
+	retry.EngineWithoutModel, retry.WaitedMillis = response.Engine.Name, response.WaitedMillis
 	return retry
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,8 +48,8 @@
 	ephemeralIdleMillis = 60_000
 )
 
-// Releaser gives a place on an engine back to the engine's owner.
-type Releaser func(engine resource.Engine, request owner.ReleaseRequest)
+// ReleaseFunc gives a place on an engine back to the engine's owner.
+type ReleaseFunc func(engine resource.Engine, request owner.ReleaseRequest)
 
 // Options configure a Gateway.
 type Options struct {
@@ -58,9 +58,9 @@
 	Coordinator  *coordinator.Client
 	Models       engine.ModelEngine
 	Applications *engine.Application
-	Release      Releaser
+	Release      ReleaseFunc
 	Pauses       *PauseDetector
-	Live         *Live
+	AnswerRelay  *AnswerRelay
 	Executions   *coordinator.Executions
 	Metrics      *Metrics
 	Logger       *events.Logger
--- a/internal/gateway/live.go
+++ b/internal/gateway/live.go
@@ -35,7 +35,7 @@
 	Ended bool `json:"ended,omitempty"`
 }
 
-// liveAnswer is the text of a running answer, from its start. Live's mutex guards it.
+// liveAnswer is the text of a running answer, from its start. AnswerRelay's mutex guards it.
 type liveAnswer struct {
 	id      uint64
 	content []byte
@@ -44,8 +44,8 @@
 	changed chan struct{}
 }
 
-// Live lets a repeat of a running call, at any gateway, follow its answer from the start.
-type Live struct {
+// AnswerRelay lets a repeat of a running call, at any gateway, follow its answer from the start.
+type AnswerRelay struct {
 	network    *transport.Transport
 	membership *membership.Manager
 
@@ -55,9 +55,9 @@
 	lastID uint64
 }
 
-// NewLive returns a Live and registers its message.
-func NewLive(network *transport.Transport, members *membership.Manager) *Live {
-	live := &Live{network: network, membership: members, answers: make(map[string]*liveAnswer), lastID: rand.Uint64() >> 1}
+// NewAnswerRelay returns an AnswerRelay and registers its message.
+func NewAnswerRelay(network *transport.Transport, members *membership.Manager) *AnswerRelay {
+	live := &AnswerRelay{network: network, membership: members, answers: make(map[string]*liveAnswer), lastID: rand.Uint64() >> 1}
 	transport.Handle(network, liveKind, func(ctx context.Context, _ transport.Peer, request liveRequest) (liveResponse, error) {
 		return live.read(ctx, request), nil
 	})
@@ -67,14 +67,14 @@
 // livePublisher is where the one request that executes a call puts its answer. A nil publisher
 // takes everything and publishes nothing.
 type livePublisher struct {
-	live   *Live
+	live   *AnswerRelay
 	callID string
 	answer *liveAnswer
 }
 
 // publish starts a call's answer with what is there already, from an attempt that was lost. An
 // answer that an earlier execution left under the same call ends.
-func (l *Live) publish(callID, content string, pieces int64) *livePublisher {
+func (l *AnswerRelay) publish(callID, content string, pieces int64) *livePublisher {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if earlier := l.answers[callID]; earlier != nil {
@@ -86,7 +86,7 @@
 	return &livePublisher{live: l, callID: callID, answer: answer}
 }
 
-// end wakes the readers for the last time; Live's mutex is held.
+// end wakes the readers for the last time; AnswerRelay's mutex is held.
 func (a *liveAnswer) end() {
 	if !a.ended {
 		a.ended = true
@@ -124,7 +124,7 @@
 }
 
 // read waits for more than the reader has.
-func (l *Live) read(ctx context.Context, request liveRequest) liveResponse {
+func (l *AnswerRelay) read(ctx context.Context, request liveRequest) liveResponse {
 	timer := time.NewTimer(liveWait)
 	defer timer.Stop()
 	l.mutex.Lock()
@@ -156,7 +156,7 @@
 
 // follow passes on what the gateway that executes a call has of its answer, from the start, until
 // there is no more to be had from there or pass returns false.
-func (l *Live) follow(ctx context.Context, gatewayID, callID string, pass func(content string, pieces int64) bool) {
+func (l *AnswerRelay) follow(ctx context.Context, gatewayID, callID string, pass func(content string, pieces int64) bool) {
 	request := liveRequest{CallID: callID}
 	for ctx.Err() == nil {
 		response, err := l.ask(ctx, gatewayID, request)
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *Live) ask(ctx context.Context, gatewayID string, request liveRequest) (liveResponse, error) {
+func (l *AnswerRelay) ask(ctx context.Context, gatewayID string, request liveRequest) (liveResponse, error) {
 	view := l.membership.View()
 	if gatewayID == view.Self.ID {
 		return l.read(ctx, request), nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -175,7 +175,7 @@
 		Applications: engine.NewApplication(),
 		Release:      n.plane.Release,
 		Pauses:       n.pauses,
-		Live:         gateway.NewLive(n.plane.Transport, n.plane.Membership),
+		AnswerRelay:  gateway.NewAnswerRelay(n.plane.Transport, n.plane.Membership),
 		Executions:   coordinator.NewExecutions(n.plane.Transport),
 		Metrics:      gateway.NewMetrics(n.registry),
 		Logger:       n.logger,
