--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -14,19 +14,18 @@
 )
 
 const (
-	// routeTimeout is how long a gateway looks for a partition's leader. An election takes about
-	// a second.
-	routeTimeout = 10 * time.Second
-	routePause   = 50 * time.Millisecond
-	// probeTimeout bounds how long one replica may keep a request that has no wait of its own.
-	probeTimeout    = 6 * time.Second
-	unavailableWait = 2 * time.Second
-	// detourTime is how long a replica is reached through others after the direct way failed.
-	detourTime  = 10 * time.Second
-	relaysTried = 2
+	// routeTimeout bounds the search for a partition's leader. It is longer than an election.
+	routeTimeout       = 10 * time.Second
+	routeRetryInterval = 50 * time.Millisecond
+	// requestTimeout bounds a request to one replica, except for Begin and Retry, which wait for an engine.
+	requestTimeout        = 6 * time.Second
+	unavailableRetryAfter = 2 * time.Second
+	// relayDuration is how long a replica is called through relays after a direct call has failed.
+	relayDuration = 10 * time.Second
+	maxRelays     = 2
 )
 
-// Client reaches the coordinator of any program from this node.
+// Client sends requests to the coordinator of any program, which is the leader of the program's partition.
 type Client struct {
 	transport  *transport.Transport
 	membership *membership.Manager
@@ -34,88 +33,88 @@
 
 	mutex   sync.Mutex
 	leaders map[uint32]string
-	// detours are the replicas that can't be reached directly, and until when not to try.
-	detours map[string]time.Time
+	// relayUntil holds the replicas that can't be reached directly, and when to try a direct call again.
+	relayUntil map[string]time.Time
 }
 
-// NewClient returns a Client.
+// NewClient returns a Client that has no leaders cached.
 func NewClient(network *transport.Transport, members *membership.Manager, partitions *partition.Manager) *Client {
-	return &Client{transport: network, membership: members, partitions: partitions, leaders: make(map[uint32]string), detours: make(map[string]time.Time)}
+	return &Client{transport: network, membership: members, partitions: partitions, leaders: make(map[uint32]string), relayUntil: make(map[string]time.Time)}
 }
 
-// Locate returns the partition of a program.
+// Locate returns the partition of the programs under a root.
 func (c *Client) Locate(region, tenant, root string) (uint32, error) {
 	id, _, err := c.partitions.Locate(region, tenant, root)
 	return id, err
 }
 
-// Begin admits a call and waits for an engine.
+// Begin admits a call and waits until it is placed on an engine.
 func (c *Client) Begin(ctx context.Context, request BeginRequest) (BeginResponse, error) {
 	return route[BeginResponse](ctx, c, request.Partition, beginKind, request, 0)
 }
 
-// Retry reports a lost attempt and waits for another engine.
+// Retry reports a lost attempt and waits until the call is placed on another engine.
 func (c *Client) Retry(ctx context.Context, request RetryRequest) (BeginResponse, error) {
 	return route[BeginResponse](ctx, c, request.Begin.Partition, retryKind, request, 0)
 }
 
 // Finish commits an answer.
 func (c *Client) Finish(ctx context.Context, request FinishRequest) (CallResponse, error) {
-	return route[CallResponse](ctx, c, request.Partition, finishKind, request, probeTimeout)
+	return route[CallResponse](ctx, c, request.Partition, finishKind, request, requestTimeout)
 }
 
-// Fail commits that a call has no answer.
+// Fail commits that a call ends without an answer.
 func (c *Client) Fail(ctx context.Context, request FailRequest) (CallResponse, error) {
-	return route[CallResponse](ctx, c, request.Partition, failKind, request, probeTimeout)
+	return route[CallResponse](ctx, c, request.Partition, failKind, request, requestTimeout)
 }
 
-// End ends a program.
+// End ends a program and its sub-agents.
 func (c *Client) End(ctx context.Context, request EndRequest) error {
-	_, err := route[CallResponse](ctx, c, request.Partition, endKind, request, probeTimeout)
+	_, err := route[CallResponse](ctx, c, request.Partition, endKind, request, requestTimeout)
 	return err
 }
 
-// Program reads a program.
+// Program returns a program's summary and, on request, its history.
 func (c *Client) Program(ctx context.Context, request ProgramRequest) (ProgramResponse, error) {
-	return route[ProgramResponse](ctx, c, request.Partition, programKind, request, probeTimeout)
+	return route[ProgramResponse](ctx, c, request.Partition, programKind, request, requestTimeout)
 }
 
-// List reads the programs that all working nodes lead; nodes that do not answer are named.
-func (c *Client) List(ctx context.Context, tenant string) (programs []program.Summary, silent []string) {
+// List returns the programs of the partitions that the usable nodes lead, and the IDs of nodes that did not answer.
+func (c *Client) List(ctx context.Context, tenant string) (programs []program.Summary, unreachable []string) {
 	for _, member := range c.membership.View().Usable() {
-		callContext, cancel := context.WithTimeout(ctx, probeTimeout)
+		callContext, cancel := context.WithTimeout(ctx, requestTimeout)
 		response, err := transport.Call[ListResponse](callContext, c.transport, member.Address, listKind, ListRequest{Tenant: tenant})
 		cancel()
 		if err != nil {
-			silent = append(silent, member.ID)
+			unreachable = append(unreachable, member.ID)
 			continue
 		}
 		programs = append(programs, response.Programs...)
 	}
-	return programs, silent
+	return programs, unreachable
 }
 
-// Explain finds the latest decision about a call.
+// Explain returns the latest scheduling decision about a call from the first node that has recorded one.
 func (c *Client) Explain(ctx context.Context, callID string) (ExplainResponse, error) {
 	for _, member := range c.membership.View().Usable() {
-		callContext, cancel := context.WithTimeout(ctx, probeTimeout)
+		callContext, cancel := context.WithTimeout(ctx, requestTimeout)
 		response, err := transport.Call[ExplainResponse](callContext, c.transport, member.Address, explainKind, ExplainRequest{CallID: callID})
 		cancel()
 		if err == nil && response.Found {
 			return response, nil
 		}
 	}
-	return ExplainResponse{}, apierr.New(apierr.NotFound, apierr.Ran, "no node remembers a decision about call %q", callID)
+	return ExplainResponse{}, apierr.New(apierr.NotFound, apierr.Ran, "no node has recorded a decision about call %q", callID)
 }
 
-// Cancel tells the leader that the caller of a waiting call is gone. Before the first answer from a
-// partition its leader is not known here; then all replicas hear it.
+// Cancel notifies the partition's leader that the caller of a waiting call has disconnected. If the leader is not known, all
+// replicas are notified.
 func (c *Client) Cancel(partitionID uint32, callID string) {
-	receivers := c.candidates(partitionID)
+	recipients := c.candidates(partitionID)
 	if leader := c.leader(partitionID); leader != "" {
-		receivers = []string{leader}
+		recipients = []string{leader}
 	}
-	for _, replicaID := range receivers {
+	for _, replicaID := range recipients {
 		if address, known := c.address(replicaID); known {
 			c.transport.Send(address, cancelKind, CancelRequest{Partition: partitionID, CallID: callID})
 		}
@@ -143,7 +142,7 @@
 	return member.Address, known && member.Usable()
 }
 
-// candidates lists the replicas to try, the leader as far as known first.
+// candidates returns the replicas to try, starting with the leader if it is known.
 func (c *Client) candidates(id uint32) []string {
 	var result []string
 	if leader := c.leader(id); leader != "" {
@@ -157,13 +156,13 @@
 	return result
 }
 
-// route sends a request to the leader of a partition, and looks for it while it changes. All
-// requests are idempotent, so that asking again after a lost answer is safe.
+// route sends a request to the leader of a partition, and searches for the leader while it changes. All requests are
+// idempotent, so they may be sent again after a lost response.
 func route[Response any](ctx context.Context, c *Client, id uint32, kind string, request any, timeout time.Duration) (Response, error) {
 	deadline := time.Now().Add(routeTimeout)
-	var last error
-	// sent remembers that a replica may have got the request: then it may take effect yet.
-	sent := false
+	var lastErr error
+	// mayHaveRun is set once a replica may have received the request, which may then still take effect.
+	mayHaveRun := false
 	for {
 		for _, replicaID := range c.candidates(id) {
 			response, err := callReplica[Response](ctx, c, replicaID, kind, request, timeout)
@@ -171,57 +170,57 @@
 				c.setLeader(id, replicaID)
 				return response, nil
 			}
-			if !c.tryNext(id, err) {
+			if !c.tryNextReplica(id, err) {
 				return response, err
 			}
-			last = err
-			sent = sent || apierr.From(err, apierr.OutcomeUnknown).Outcome != apierr.NotRun
-			knowsLeader := apierr.Is(err, apierr.NotLeader) && c.leader(id) != "" && c.leader(id) != replicaID
-			if knowsLeader || time.Now().After(deadline) {
+			lastErr = err
+			mayHaveRun = mayHaveRun || apierr.From(err, apierr.OutcomeUnknown).Outcome != apierr.NotRun
+			hasNewLeader := apierr.Is(err, apierr.NotLeader) && c.leader(id) != "" && c.leader(id) != replicaID
+			if hasNewLeader || time.Now().After(deadline) {
 				break
 			}
 		}
-		var none Response
+		var zero Response
 		if ctx.Err() != nil {
-			return none, apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the caller gave up")
+			return zero, apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the caller cancelled the request")
 		}
 		if time.Now().After(deadline) {
-			return none, unavailable(id, sent, last)
+			return zero, unavailableError(id, mayHaveRun, lastErr)
 		}
-		clock.Pause(ctx, routePause)
+		clock.Pause(ctx, routeRetryInterval)
 	}
 }
 
 func callReplica[Response any](ctx context.Context, c *Client, replicaID, kind string, request any, timeout time.Duration) (Response, error) {
-	var none Response
+	var zero Response
 	address, known := c.address(replicaID)
 	if !known {
-		return none, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "replica %s is not alive", replicaID)
+		return zero, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "replica %s is not alive", replicaID)
 	}
 	if timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	if !c.onDetour(replicaID) {
+	if !c.needsRelay(replicaID) {
 		response, err := transport.Call[Response](ctx, c.transport, address, kind, request)
 		if !apierr.Is(err, apierr.PeerUnreachable) || ctx.Err() != nil {
 			return response, err
 		}
-		c.startDetour(replicaID)
+		c.startRelaying(replicaID)
 	}
-	return callAround[Response](ctx, c, address, kind, request)
+	return callViaRelay[Response](ctx, c, address, kind, request)
 }
 
-// callAround goes through another node. The members hold the replica for alive, so that the fault
-// is more likely in the way there than in the replica.
-func callAround[Response any](ctx context.Context, c *Client, address, kind string, request any) (Response, error) {
-	var none Response
-	var last error = apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "there is no other node to go through")
+// callViaRelay calls a replica through another node. Membership considers the replica alive, so the fault is probably on the
+// network path from this node.
+func callViaRelay[Response any](ctx context.Context, c *Client, address, kind string, request any) (Response, error) {
+	var zero Response
+	var lastErr error = apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "no relay is available")
 	view := c.membership.View()
 	tried := 0
 	for _, relay := range membership.Rank(view.Working(), view.Self.ID+address) {
-		if relay.ID == view.Self.ID || relay.Address == address || c.onDetour(relay.ReplicaID) {
+		if relay.ID == view.Self.ID || relay.Address == address || c.needsRelay(relay.ReplicaID) {
 			continue
 		}
 		response, err := transport.CallVia[Response](ctx, c.transport, relay.Address, address, kind, request)
@@ -229,38 +228,38 @@
 			return response, err
 		}
 		if apierr.Is(err, apierr.PeerUnreachable) {
-			// The relay itself is out of reach: it serves no other request for a while, either.
-			c.startDetour(relay.ReplicaID)
+			// The relay itself is unreachable, so it isn't used as a relay until it may be called directly again.
+			c.startRelaying(relay.ReplicaID)
 		}
-		last = err
+		lastErr = err
 		tried++
-		if tried == relaysTried {
+		if tried == maxRelays {
 			break
 		}
 	}
-	return none, last
+	return zero, lastErr
 }
 
-func (c *Client) onDetour(replicaID string) bool {
+func (c *Client) needsRelay(replicaID string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return time.Now().Before(c.detours[replicaID])
+	return time.Now().Before(c.relayUntil[replicaID])
 }
 
-func (c *Client) startDetour(replicaID string) {
+func (c *Client) startRelaying(replicaID string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	for id, until := range c.detours {
+	for id, until := range c.relayUntil {
 		if now.After(until) {
-			delete(c.detours, id)
+			delete(c.relayUntil, id)
 		}
 	}
-	c.detours[replicaID] = now.Add(detourTime)
+	c.relayUntil[replicaID] = now.Add(relayDuration)
 }
 
-// tryNext reports whether another replica may do better, and learns the leader from a refusal.
-func (c *Client) tryNext(id uint32, err error) bool {
+// tryNextReplica reports whether the request may succeed at another replica. It updates the cached leader from the error.
+func (c *Client) tryNextReplica(id uint32, err error) bool {
 	switch {
 	case apierr.Is(err, apierr.NotLeader):
 		c.setLeader(id, apierr.From(err, apierr.NotRun).Leader)
@@ -273,10 +272,10 @@
 	}
 }
 
-func unavailable(id uint32, sent bool, last error) error {
+func unavailableError(id uint32, mayHaveRun bool, lastErr error) error {
 	outcome := apierr.NotRun
-	if sent {
+	if mayHaveRun {
 		outcome = apierr.OutcomeUnknown
 	}
-	return apierr.New(apierr.PartitionUnavailable, outcome, "partition %d has no leader: %v", id, last).WithRetryAfter(unavailableWait)
+	return apierr.New(apierr.PartitionUnavailable, outcome, "partition %d has no leader: %v", id, lastErr).WithRetryAfter(unavailableRetryAfter)
 }
--- a/internal/coordinator/executions.go
+++ b/internal/coordinator/executions.go
@@ -14,33 +14,33 @@
 
 const (
 	executionsKind = "executions"
-	// executionsTimeout bounds the question whether a gateway still executes some calls.
+	// executionsTimeout bounds an executionsRequest to a gateway.
 	executionsTimeout = 2 * time.Second
-	// unwaitedCheck is how often a gateway is asked about a call that nothing waits for.
-	unwaitedCheck = 30 * time.Second
+	// executionCheckInterval is how often an execution is checked if no other call waits for it.
+	executionCheckInterval = 30 * time.Second
 )
 
-// executionsRequest lists executions that a coordinator counts on.
+// executionsRequest lists the executions of dispatched calls, to check that the gateway still holds them.
 type executionsRequest struct {
 	Executions []string `json:"executions"`
 }
 
-// executionsResponse lists those that the gateway does not hold. An execution is held from before its
-// first message until its last one was answered, and never again: what is not held sends nothing.
+// executionsResponse lists the executions that the gateway does not hold. An execution is held from before its first message
+// until its last one was answered, and never again, so one that is not held sends nothing more.
 type executionsResponse struct {
 	Ended []string `json:"ended,omitempty"`
 }
 
-// Executions are the executions that this node's gateway holds. The methods may be called concurrently.
+// Executions is the set of executions that this node's gateway holds. It is safe for concurrent use.
 type Executions struct {
 	mutex sync.Mutex
-	// holders counts who holds each execution: the request itself, and what goes on in its name.
-	holders map[string]int
+	// refCounts counts the holders of each execution: the request itself, and its background work.
+	refCounts map[string]int
 }
 
-// NewExecutions returns an empty set that answers coordinators.
+// NewExecutions returns an empty set and registers the handler for coordinators' execution checks.
 func NewExecutions(network *transport.Transport) *Executions {
-	executions := &Executions{holders: make(map[string]int)}
+	executions := &Executions{refCounts: make(map[string]int)}
 	transport.Handle(network, executionsKind, func(_ context.Context, _ transport.Peer, request executionsRequest) (executionsResponse, error) {
 		return executionsResponse{Ended: executions.ended(request.Executions)}, nil
 	})
@@ -51,13 +51,13 @@
 func (e *Executions) Hold(id string) (release func()) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.holders[id]++
+	e.refCounts[id]++
 	return sync.OnceFunc(func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		e.holders[id]--
-		if e.holders[id] == 0 {
-			delete(e.holders, id)
+		e.refCounts[id]--
+		if e.refCounts[id] == 0 {
+			delete(e.refCounts, id)
 		}
 	})
 }
@@ -67,75 +67,74 @@
 	defer e.mutex.Unlock()
 	var ended []string
 	for _, id := range ids {
-		if e.holders[id] == 0 {
+		if e.refCounts[id] == 0 {
 			ended = append(ended, id)
 		}
 	}
 	return ended
 }
 
-// executionChecks remembers for which dispatched calls the gateway is to be asked. Only these are
-// asked about, so that a partition in good order costs no message.
+// executionChecks schedules the checks of dispatched calls at their gateways: soon if something waits for a call, otherwise at
+// executionCheckInterval, so that calls in normal operation cost few messages.
 type executionChecks struct {
 	mutex sync.Mutex
-	// waited is when something waited here last for a call that was not asked about since.
-	waited map[string]time.Time
-	// asked is when the gateway was asked last about a call.
-	asked map[string]time.Time
+	// requested is when a check was last requested for a call that has not been checked since.
+	requested map[string]time.Time
+	// checked is when a call was last checked.
+	checked map[string]time.Time
 }
 
 func newExecutionChecks() *executionChecks {
-	return &executionChecks{waited: make(map[string]time.Time), asked: make(map[string]time.Time)}
+	return &executionChecks{requested: make(map[string]time.Time), checked: make(map[string]time.Time)}
 }
 
-// request notes that something waits for the calls.
+// request schedules a check of calls for which something waits.
 func (c *executionChecks) request(callIDs ...string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, id := range callIDs {
-		c.waited[id] = time.Now()
+		c.requested[id] = time.Now()
 	}
 }
 
-// due reports whether to ask about a call now, and notes that it is done.
+// due reports whether a call must be checked now, and records the check.
 func (c *executionChecks) due(open program.OpenCall, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	last, known := c.asked[open.CallID]
+	last, known := c.checked[open.CallID]
 	if !known {
 		last = time.UnixMilli(open.AdmittedAt)
 	}
-	if _, waited := c.waited[open.CallID]; !waited && now.Sub(last) < unwaitedCheck {
+	if _, requested := c.requested[open.CallID]; !requested && now.Sub(last) < executionCheckInterval {
 		return false
 	}
-	delete(c.waited, open.CallID)
-	c.asked[open.CallID] = now
+	delete(c.requested, open.CallID)
+	c.checked[open.CallID] = now
 	return true
 }
 
-// forget drops what is older than any question.
-func (c *executionChecks) forget(now time.Time) {
+// prune removes entries that are too old to affect a check.
+func (c *executionChecks) prune(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	tooOld := func(_ string, at time.Time) bool { return now.Sub(at) > 2*unwaitedCheck }
-	maps.DeleteFunc(c.asked, tooOld)
-	maps.DeleteFunc(c.waited, tooOld)
+	stale := func(_ string, at time.Time) bool { return now.Sub(at) > 2*executionCheckInterval }
+	maps.DeleteFunc(c.checked, stale)
+	maps.DeleteFunc(c.requested, stale)
 }
 
-// askGateways asks each gateway about the given dispatched calls of a partition, and takes back the
-// attempts that it does not hold: the answer that named their engine was lost for longer than the
-// gateway looked for it, or their end could not be reported.
-func (s *Server) askGateways(ctx context.Context, group uint32, calls []program.OpenCall, tasks *sync.WaitGroup) {
+// checkGateways checks dispatched calls of a partition at their gateways, and marks attempts as lost that the gateway does not
+// hold: the response with their engine was lost for longer than the gateway retried, or their end could not be reported.
+func (s *Server) checkGateways(ctx context.Context, group uint32, calls []program.OpenCall, tasks *sync.WaitGroup) {
 	byGateway := make(map[string][]program.OpenCall)
 	for _, call := range calls {
 		byGateway[call.Gateway] = append(byGateway[call.Gateway], call)
 	}
-	for gateway, its := range byGateway {
-		tasks.Go(func() { s.askGateway(ctx, group, gateway, its) })
+	for gateway, gatewayCalls := range byGateway {
+		tasks.Go(func() { s.checkGateway(ctx, group, gateway, gatewayCalls) })
 	}
 }
 
-func (s *Server) askGateway(ctx context.Context, group uint32, gatewayID string, calls []program.OpenCall) {
+func (s *Server) checkGateway(ctx context.Context, group uint32, gatewayID string, calls []program.OpenCall) {
 	member, known := s.options.Membership.View().Get(gatewayID)
 	if !known {
 		return
@@ -153,15 +152,15 @@
 		return
 	}
 	for _, id := range response.Ended {
-		if call, asked := byExecution[id]; asked {
+		if call, requested := byExecution[id]; requested {
 			s.loseAttempt(ctx, group, call, events.AttemptUnheld)
-			s.freePlace(call)
+			s.releaseSlot(call)
 		}
 	}
 }
 
-// freePlace gives back the place on the engine of an attempt that nobody executes.
-func (s *Server) freePlace(open program.OpenCall) {
+// releaseSlot frees the engine slot of an attempt that no gateway executes.
+func (s *Server) releaseSlot(open program.OpenCall) {
 	if found, _, exists := findEngine(s.options.Config.Current().Set, open.Service, open.Engine); exists {
 		s.options.Release(found, owner.ReleaseRequest{Engine: found.Name, CallID: open.CallID, Unused: true})
 	}
--- a/internal/coordinator/janitor.go
+++ b/internal/coordinator/maintenance.go
@@ -13,22 +13,21 @@
 )
 
 const (
-	janitorInterval = 500 * time.Millisecond
-	// orphanPatience is how long an admitted call may be without a driver, so that a caller can
-	// come back through another node.
-	orphanPatience  = 30 * time.Second
-	releaseTimeout  = 3 * time.Second
-	releaseParallel = 8
+	maintenanceInterval = 500 * time.Millisecond
+	// orphanTimeout is how long an admitted call may be without a driver, so that its caller can retry through another node.
+	orphanTimeout         = 30 * time.Second
+	releaseTimeout        = 3 * time.Second
+	maxConcurrentReleases = 8
 )
 
-// Run settles calls of lost gateways, ends programs over their limits, and releases the caches of
-// ended ones, in the partitions that this node leads, until the context ends.
+// Run maintains the partitions that this node leads until the context ends: it marks attempts of failed gateways as lost, fails
+// orphaned calls, ends programs that have exceeded their limits, and releases the engine caches of ended programs.
 func (s *Server) Run(ctx context.Context) {
-	ticker := time.NewTicker(janitorInterval)
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	slots := make(chan struct{}, releaseParallel)
+	slots := make(chan struct{}, maxConcurrentReleases)
 	for {
 		select {
 		case <-ctx.Done():
@@ -39,62 +38,62 @@
 			if !status.IsLeader {
 				continue
 			}
-			s.settleLost(ctx, status.Group, &tasks)
+			s.settleLostCalls(ctx, status.Group, &tasks)
 			s.expire(ctx, status.Group)
 			s.releaseCaches(ctx, status.Group, &tasks, slots)
 		}
-		s.checks.forget(time.Now())
+		s.checks.prune(time.Now())
 	}
 }
 
-// settleLost takes back the attempts of gateways that are gone, and ends calls that nobody drives.
-func (s *Server) settleLost(ctx context.Context, group uint32, tasks *sync.WaitGroup) {
+// settleLostCalls marks attempts of failed gateways as lost, and fails admitted calls that have no driver.
+func (s *Server) settleLostCalls(ctx context.Context, group uint32, tasks *sync.WaitGroup) {
 	view := s.options.Membership.View()
 	now := time.Now()
-	var doubtful []program.OpenCall
+	var unconfirmed []program.OpenCall
 	for _, open := range s.machine(group).OpenCalls() {
 		gateway, known := view.Get(open.Gateway)
-		gone := !known && now.Sub(time.UnixMilli(open.AdmittedAt)) > orphanPatience || known && !gateway.Usable()
+		gatewayLost := !known && now.Sub(time.UnixMilli(open.AdmittedAt)) > orphanTimeout || known && !gateway.Usable()
 		switch {
-		case open.State == program.Dispatching && (gone || s.overdue(open, now)):
+		case open.State == program.Dispatching && (gatewayLost || s.overdue(open, now)):
 			s.loseAttempt(ctx, group, open, events.AttemptLost)
 		case open.State == program.Dispatching && s.checks.due(open, now):
-			doubtful = append(doubtful, open)
+			unconfirmed = append(unconfirmed, open)
 		case open.State == program.Admitted && s.orphaned(open.CallID, now):
-			failure := apierr.New(apierr.Cancelled, apierr.NotRun, "the caller was lost and did not come back")
+			failure := apierr.New(apierr.Cancelled, apierr.NotRun, "the caller disconnected and did not retry")
 			_, _ = s.propose(ctx, group, program.Command{Fail: &program.Fail{CallID: open.CallID, Program: open.Program, Error: failure}})
 		}
 	}
-	s.askGateways(ctx, group, doubtful, tasks)
+	s.checkGateways(ctx, group, unconfirmed, tasks)
 }
 
-// overdue reports that a call is so old that its gateway must have given it up, though it lives.
+// overdue reports whether a call is past every deadline of its gateway, so that its attempt is lost although the gateway is alive.
 func (s *Server) overdue(open program.OpenCall, now time.Time) bool {
 	service, known := s.options.Config.Current().Set.Service(open.Service)
 	if !known {
 		return false
 	}
-	limit := seconds(2*service.CallSeconds+service.QueueSeconds) + orphanPatience
+	limit := seconds(2*service.CallSeconds+service.QueueSeconds) + orphanTimeout
 	return now.Sub(time.UnixMilli(open.AdmittedAt)) > limit
 }
 
-// orphaned reports that nobody has driven an admitted call for longer than orphanPatience.
+// orphaned reports whether an admitted call has had no driver for orphanTimeout.
 func (s *Server) orphaned(callID string, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.driving[callID] != nil {
-		delete(s.orphans, callID)
+	if s.drivers[callID] != nil {
+		delete(s.orphanedSince, callID)
 		return false
 	}
-	since, noted := s.orphans[callID]
-	if !noted {
-		s.orphans[callID] = now
+	since, seen := s.orphanedSince[callID]
+	if !seen {
+		s.orphanedSince[callID] = now
 		return false
 	}
-	if now.Sub(since) < orphanPatience {
+	if now.Sub(since) < orphanTimeout {
 		return false
 	}
-	delete(s.orphans, callID)
+	delete(s.orphanedSince, callID)
 	return true
 }
 
@@ -104,27 +103,27 @@
 	}
 }
 
-// releaseCaches asks engines to drop the caches of ended programs, until each has confirmed.
+// releaseCaches requests the engines to release the caches of ended programs. Unconfirmed releases are retried in the next run.
 func (s *Server) releaseCaches(ctx context.Context, group uint32, tasks *sync.WaitGroup, slots chan struct{}) {
 	for _, held := range s.machine(group).HeldCaches() {
-		if !s.claimRelease(held) {
+		if !s.startRelease(held) {
 			continue
 		}
 		select {
 		case slots <- struct{}{}:
 		default:
-			s.unclaimRelease(held)
+			s.finishRelease(held)
 			return
 		}
 		tasks.Go(func() {
 			defer func() { <-slots }()
-			defer s.unclaimRelease(held)
-			s.releaseOne(ctx, group, held)
+			defer s.finishRelease(held)
+			s.releaseCache(ctx, group, held)
 		})
 	}
 }
 
-func (s *Server) claimRelease(held program.HeldCache) bool {
+func (s *Server) startRelease(held program.HeldCache) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.releasing[held] {
@@ -134,13 +133,13 @@
 	return true
 }
 
-func (s *Server) unclaimRelease(held program.HeldCache) {
+func (s *Server) finishRelease(held program.HeldCache) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.releasing, held)
 }
 
-func (s *Server) releaseOne(ctx context.Context, group uint32, held program.HeldCache) {
+func (s *Server) releaseCache(ctx context.Context, group uint32, held program.HeldCache) {
 	found, pool, exists := findEngine(s.options.Config.Current().Set, held.Service, held.Engine)
 	if exists {
 		target := engine.Target{Name: found.Name, URL: found.URL, Pool: pool}
@@ -151,17 +150,17 @@
 			return
 		}
 	}
-	// An engine that no pool has any more holds nothing for us.
+	// If the engine is no longer configured, there is no cache to release.
 	_, err := s.propose(ctx, group, program.Command{Release: &program.ReleaseCache{Program: held.Program, Engine: held.Engine}})
 	if err == nil {
 		s.options.Logger.Emit(events.CacheReleased, events.F("engine", held.Engine), events.F("program", held.Program.Path))
 	}
 }
 
-// CacheID is the program identifier that engines are told.
+// CacheID returns the identifier of a program in requests to engines, under which they cache its prompts.
 func CacheID(key program.Key) string { return key.Tenant + ":" + key.Path }
 
-// findEngine looks an engine up in a service's pool.
+// findEngine returns an engine by name from the pool of a service, and the pool's name.
 func findEngine(set *resource.Set, serviceName, name string) (found resource.Engine, poolName string, exists bool) {
 	service, known := set.Service(serviceName)
 	if !known {
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -1,5 +1,5 @@
-// Package coordinator books calls at the replicated program state and drives them to an engine.
-// Server runs beside the leader of each partition; Client finds that leader from any node.
+// Package coordinator records calls in the replicated program state and places them on engines. Server handles the requests of
+// the partitions that its node leads; Client routes requests from any node to the partition's leader.
 package coordinator
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/mountstile/mountstile/internal/scheduler"
 )
 
-// The message kinds between gateways and coordinators.
+// Message kinds between gateways and coordinators.
 const (
 	beginKind   = "begin"
 	retryKind   = "retry"
@@ -22,115 +22,118 @@
 	explainKind = "explain"
 )
 
-// BeginRequest asks to admit a call and to find it an engine.
+// BeginRequest admits a call and requests an engine for it.
 type BeginRequest struct {
 	Partition uint32        `json:"partition"`
 	Admit     program.Admit `json:"admit"`
-	// Execution identifies the caller's request at its gateway. It stays the same when the gateway
-	// asks again, and differs for every repeat by the caller.
+	// Execution identifies the caller's request at its gateway. It stays the same when the gateway resends the request, and
+	// differs for every repeat by the caller.
 	Execution string `json:"execution"`
-	// PromptTokens estimates the whole prompt.
+	// PromptTokens is the estimated length of the whole prompt.
 	PromptTokens int64 `json:"prompt_tokens,omitempty"`
 	MaxTokens    int64 `json:"max_tokens,omitempty"`
-	// WantHistory asks for the stored messages, for a caller that sends only what is new.
+	// WantHistory requests the stored messages, for a caller that sends only new ones.
 	WantHistory bool `json:"want_history,omitempty"`
-	// WaitForEnd asks to wait for the end of a running call that this one repeats.
+	// WaitForEnd delays the response until the running call that this one repeats has ended.
 	WaitForEnd bool `json:"wait_for_end,omitempty"`
 }
 
-// BeginResponse is an engine to send to, an answer that exists already, or a history that the
-// caller's messages do not continue.
+// BeginResponse holds one of the engine to send the call to, a stored answer, the gateway that executes the call already, or the
+// stored history that conflicts with the caller's messages.
 type BeginResponse struct {
 	CallID  string            `json:"call"`
 	Attempt int               `json:"attempt,omitempty"`
 	Engine  *engine.Target    `json:"engine,omitempty"`
 	History []program.Message `json:"history,omitempty"`
 	Answer  *program.Answer   `json:"answer,omitempty"`
-	// RunningAt is the gateway that executes the call which this one repeats.
+	// RunningAt is the ID of the gateway that executes the call that this one repeats.
 	RunningAt string `json:"running_at,omitempty"`
 	// Conflict is the end of the stored history.
 	Conflict *program.HistoryMark `json:"conflict,omitempty"`
-	// WaitedMillis is how long the call stood in line, for a retry after the engine lacked the model.
+	// WaitedMillis is the call's queue time so far, for a RetryRequest with EngineWithoutModel.
 	WaitedMillis int64 `json:"waited_ms,omitempty"`
-	// LeaseMillis is how long the gateway may wait before it sends.
+	// LeaseMillis is how long after the response the gateway may start to send the call to the engine.
 	LeaseMillis int64 `json:"lease_ms,omitempty"`
 }
 
-// RetryRequest reports a lost attempt and asks for another engine.
+// RetryRequest reports a lost attempt and requests another engine.
 type RetryRequest struct {
-	Begin       BeginRequest `json:"begin"`
-	Attempt     int          `json:"attempt"`
-	Undelivered bool         `json:"undelivered,omitempty"`
-	Avoid       []string     `json:"avoid,omitempty"`
-	// Spent is what the call costs, in tokens, if it gets no further: that of which its caller has a part.
+	Begin   BeginRequest `json:"begin"`
+	Attempt int          `json:"attempt"`
+	// Undelivered is set if nothing of the attempt was sent.
+	Undelivered bool `json:"undelivered,omitempty"`
+	// Avoid are the engines on which the call has failed.
+	Avoid []string `json:"avoid,omitempty"`
+	// Spent is the cost in tokens if the call ends without another attempt. It is set if the caller has received a part of the
+	// answer.
 	Spent int64 `json:"spent,omitempty"`
-	// EngineWithoutModel is the engine of the lost attempt if that has refused the call, for it had not loaded the
-	// model; WaitedMillis is then the response's.
+	// EngineWithoutModel is the engine of the lost attempt if it refused the call because it had not loaded the model.
+	// WaitedMillis is then copied from the BeginResponse.
 	EngineWithoutModel string `json:"lacking,omitempty"`
 	WaitedMillis       int64  `json:"waited_ms,omitempty"`
-	// ModelRefusals counts the call's attempts that have ended so.
+	// ModelRefusals counts the call's attempts that were refused for this reason.
 	ModelRefusals int `json:"refusals,omitempty"`
 }
 
-// FinishRequest reports an answer.
+// FinishRequest commits the answer of a call.
 type FinishRequest struct {
 	Partition uint32           `json:"partition"`
 	Complete  program.Complete `json:"complete"`
 }
 
-// FailRequest reports that a call ends without an answer.
+// FailRequest commits that a call ends without an answer.
 type FailRequest struct {
 	Partition uint32       `json:"partition"`
 	Fail      program.Fail `json:"fail"`
 }
 
-// CallResponse is the call after a change.
+// CallResponse is the state of a call after a command was committed.
 type CallResponse struct {
 	State program.CallState `json:"state"`
 	Error *apierr.Error     `json:"error,omitempty"`
 }
 
-// EndRequest ends a program.
+// EndRequest ends a program and its sub-agents.
 type EndRequest struct {
 	Partition uint32      `json:"partition"`
 	End       program.End `json:"end"`
 }
 
-// CancelRequest tells that the caller of a call that has no engine yet is gone.
+// CancelRequest reports that the caller of a call that has no engine yet has disconnected.
 type CancelRequest struct {
 	Partition uint32 `json:"partition"`
 	CallID    string `json:"call"`
 }
 
-// ProgramRequest reads one program.
+// ProgramRequest requests one program.
 type ProgramRequest struct {
 	Partition   uint32      `json:"partition"`
 	Program     program.Key `json:"program"`
 	WantHistory bool        `json:"want_history,omitempty"`
 }
 
-// ProgramResponse is one program.
+// ProgramResponse holds a program's summary, and its history if the request has WantHistory.
 type ProgramResponse struct {
 	Summary program.Summary   `json:"summary"`
 	History []program.Message `json:"history,omitempty"`
 }
 
-// ListRequest reads the programs of the partitions that a node leads.
+// ListRequest requests the programs of the partitions that a node leads. An empty Tenant selects all tenants.
 type ListRequest struct {
 	Tenant string `json:"tenant,omitempty"`
 }
 
-// ListResponse lists programs.
+// ListResponse holds the summaries of the selected programs.
 type ListResponse struct {
 	Programs []program.Summary `json:"programs"`
 }
 
-// ExplainRequest asks why a call went where it did.
+// ExplainRequest requests the scheduling decision about a call.
 type ExplainRequest struct {
 	CallID string `json:"call"`
 }
 
-// ExplainResponse is the latest decision about a call, if this node took it and still knows it.
+// ExplainResponse holds the latest decision about a call, if the node made it and still keeps it.
 type ExplainResponse struct {
 	Found    bool               `json:"found"`
 	Decision scheduler.Decision `json:"decision"`
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -12,52 +12,54 @@
 	"github.com/mountstile/mountstile/internal/scheduler"
 )
 
-// modelWait is when to come back for a model that no engine has loaded in time.
-const modelWait = 2 * time.Second
+// modelRetryAfter is the Retry-After of a call whose model no engine has loaded in time.
+const modelRetryAfter = 2 * time.Second
 
-// Models tells which engines have which model.
+// Models provides the engines that have loaded a model.
 type Models interface {
+	// Engines returns the engines of a pool that have loaded a model.
 	Engines(name string, pool *resource.Pool, model string) []resource.Engine
+	// Changed returns a channel that is closed when the result of Engines may have changed.
 	Changed() <-chan struct{}
-	// Want tells that a call waits for a model that no engine has.
+	// Want reports that a call waits for a model that no engine has loaded.
 	Want()
-	// Refute tells that an engine has refused a call, for it lacks a model that it should have by what
-	// Engines returned.
+	// Refute reports that an engine has refused a call because it has not loaded a model, although Engines returned it for that
+	// model. It returns false if the engine is no longer listed for the model.
 	Refute(pool, engine, model string) bool
 }
 
-// errMoreEngines is the cause when a placement begins anew, for further engines have the model.
-var errMoreEngines = apierr.New(apierr.Cancelled, apierr.NotRun, "further engines have loaded the model")
+// errMoreEngines is the cancellation cause of a placement that restarts because more engines have loaded the model.
+var errMoreEngines = apierr.New(apierr.Cancelled, apierr.NotRun, "more engines have loaded the model")
 
-// placeOnLoaded places a call on the engines that have its model. It waits for the first of them, and
-// leaves the line of one when further ones come: else the calls that made them come would be the last
-// to use them.
-func (s *Server) placeOnLoaded(ctx context.Context, request BeginRequest, service *resource.Service, pool *resource.Pool, description scheduler.Call, rules *policy.Policy) (scheduler.Decision, error) {
-	deadline := time.Now().Add(description.MaxWait)
-	// A call that has waited long is near the front of its line, and may be refused at another one.
-	lastMove := deadline.Add(-description.MaxWait / 2)
+// placeOnLoaded places a call on one of the engines that have loaded its model, and waits until there is one. It leaves an
+// engine's queue when more engines have loaded the model: otherwise the queued calls that caused the load would not use them.
+func (s *Server) placeOnLoaded(ctx context.Context, request BeginRequest, service *resource.Service, pool *resource.Pool, schedulerCall scheduler.Call, rules *policy.Policy) (scheduler.Decision, error) {
+	deadline := time.Now().Add(schedulerCall.MaxWait)
+	// A call that has waited long is near the front of its queue, and another engine may refuse it.
+	restartDeadline := deadline.Add(-schedulerCall.MaxWait / 2)
 	for {
 		loaded, err := s.loadedEngines(ctx, request, service.Pool, pool, deadline)
 		if err != nil {
 			return scheduler.Decision{}, err
 		}
-		placing, stop := s.untilMoreEngines(ctx, service.Pool, pool, description.Model, len(loaded), lastMove)
-		description.MaxWait = max(0, time.Until(deadline))
-		decision, err := s.options.Scheduler.Place(placing, description, &resource.Pool{Engines: loaded}, rules)
-		again := err != nil && ctx.Err() == nil && context.Cause(placing) == errMoreEngines
+		placeCtx, stop := s.cancelOnMoreEngines(ctx, service.Pool, pool, schedulerCall.Model, len(loaded), restartDeadline)
+		schedulerCall.MaxWait = max(0, time.Until(deadline))
+		decision, err := s.options.Scheduler.Place(placeCtx, schedulerCall, &resource.Pool{Engines: loaded}, rules)
+		restart := err != nil && ctx.Err() == nil && context.Cause(placeCtx) == errMoreEngines
 		stop()
-		if !again {
-			s.remember(decision)
+		if !restart {
+			s.recordDecision(decision)
 			return decision, err
 		}
 	}
 }
 
-// loadedEngines returns the engines that have the call's model, and waits for the first.
+// loadedEngines returns the engines that have loaded the call's model, and waits until there is one. It returns NoEngine at
+// the deadline, and NotLeader if this node loses leadership.
 func (s *Server) loadedEngines(ctx context.Context, request BeginRequest, name string, pool *resource.Pool, deadline time.Time) ([]resource.Engine, error) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
-	ticker := time.NewTicker(leadershipCheck)
+	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		changed := s.options.Models.Changed()
@@ -68,41 +70,41 @@
 		select {
 		case <-changed:
 		case <-ticker.C:
-			if err := s.deposed(request.Partition); err != nil {
+			if err := s.checkLeadership(request.Partition); err != nil {
 				return nil, err
 			}
 		case <-timer.C:
-			return nil, apierr.New(apierr.NoEngine, apierr.NotRun, "no engine has loaded model %q in time", request.Admit.Model).WithRetryAfter(modelWait)
+			return nil, apierr.New(apierr.NoEngine, apierr.NotRun, "no engine loaded model %q in time", request.Admit.Model).WithRetryAfter(modelRetryAfter)
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
 	}
 }
 
-// untilMoreEngines ends the context when more engines than before have the model, up to a moment. Call
-// stop when the placement is over.
-func (s *Server) untilMoreEngines(ctx context.Context, name string, pool *resource.Pool, model string, before int, last time.Time) (placing context.Context, stop func()) {
-	placing, cancel := context.WithCancelCause(ctx)
+// cancelOnMoreEngines returns a context that is cancelled with errMoreEngines if more than count engines have loaded the model
+// before a deadline. The caller must call stop when the placement has ended.
+func (s *Server) cancelOnMoreEngines(ctx context.Context, name string, pool *resource.Pool, model string, count int, deadline time.Time) (placeCtx context.Context, stop func()) {
+	placeCtx, cancel := context.WithCancelCause(ctx)
 	go func() {
-		for time.Now().Before(last) {
+		for time.Now().Before(deadline) {
 			changed := s.options.Models.Changed()
-			if len(s.options.Models.Engines(name, pool, model)) > before {
+			if len(s.options.Models.Engines(name, pool, model)) > count {
 				cancel(errMoreEngines)
 				return
 			}
 			select {
 			case <-changed:
-			case <-placing.Done():
+			case <-placeCtx.Done():
 				return
 			}
 		}
 	}()
-	return placing, func() { cancel(nil) }
+	return placeCtx, func() { cancel(nil) }
 }
 
-// refuteModel takes an engine out of use for the model that it has refused a call of. The call then waits
-// as one whose model no engine has. It returns false if the pool's engines load no models, or none any more:
-// there only avoiding the engine keeps the call from coming back to it at once.
+// refuteModel records that the engine of a lost attempt has not loaded the call's model, so that the call waits for engines that
+// have. It returns false if the pool is not configured to load models or was removed: then the retry must avoid the engine, or it
+// could be placed there again at once.
 func (s *Server) refuteModel(request RetryRequest) bool {
 	set := s.options.Config.Current().Set
 	service, known := set.Service(request.Begin.Admit.Service)
@@ -143,7 +145,7 @@
 	return demands
 }
 
-// ConfirmLeadership commits a command that changes nothing but the time.
+// ConfirmLeadership commits a command without other effect than expiry, which succeeds only on the leader of a partition.
 func (s *Server) ConfirmLeadership(ctx context.Context, group uint32) error {
 	_, err := s.propose(ctx, group, program.Command{Expire: &program.Expire{}})
 	return err
--- a/internal/coordinator/placement.go
+++ b/internal/coordinator/placement.go
@@ -14,20 +14,21 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// pastAttempts is what earlier attempts of a call leave to the next one.
-type pastAttempts struct {
+// priorAttempts holds the outcome of a call's earlier attempts for the placement of the next one.
+type priorAttempts struct {
 	// avoid are the engines on which the call has failed.
 	avoid []string
-	// waited is how much of its time in line is used up, as long as no engine has run the call.
+	// waited is the part of the call's MaxWait that is used up. It counts only until an engine has run the call.
 	waited time.Duration
 }
 
-// pastAttempts is what a retry leaves to the next attempt.
-func (r RetryRequest) pastAttempts() pastAttempts {
-	return pastAttempts{avoid: r.Avoid, waited: time.Duration(r.WaitedMillis) * time.Millisecond}
+// priorAttempts returns the outcome of the attempts before a retry.
+func (r RetryRequest) priorAttempts() priorAttempts {
+	return priorAttempts{avoid: r.Avoid, waited: time.Duration(r.WaitedMillis) * time.Millisecond}
 }
 
-func (s *Server) place(ctx context.Context, request BeginRequest, call *program.Call, earlier pastAttempts) (scheduler.Decision, error) {
+// place selects an engine for the next attempt of a call, and reserves a slot on it.
+func (s *Server) place(ctx context.Context, request BeginRequest, call *program.Call, prior priorAttempts) (scheduler.Decision, error) {
 	set := s.options.Config.Current().Set
 	service, known := set.Service(request.Admit.Service)
 	if !known {
@@ -41,16 +42,16 @@
 	if err != nil {
 		return scheduler.Decision{}, apierr.New(apierr.PolicyFailed, apierr.NotRun, "%s", err)
 	}
-	description := s.describe(request, call, set, service, earlier)
+	schedulerCall := s.describe(request, call, set, service, prior)
 	if pool.Loading != nil {
-		return s.placeOnLoaded(ctx, request, service, pool, description, rules)
+		return s.placeOnLoaded(ctx, request, service, pool, schedulerCall, rules)
 	}
-	decision, err := s.options.Scheduler.Place(ctx, description, pool, rules)
-	s.remember(decision)
+	decision, err := s.options.Scheduler.Place(ctx, schedulerCall, pool, rules)
+	s.recordDecision(decision)
 	return decision, err
 }
 
-// DescribeCall tells the scheduler about a call and its program.
+// DescribeCall returns the scheduler's input about a call and its program, with the default tenant weight.
 func DescribeCall(request BeginRequest, call *program.Call, summary program.Summary, service *resource.Service, now time.Time) scheduler.Call {
 	return scheduler.Call{
 		ID:           call.ID,
@@ -77,18 +78,19 @@
 	}
 }
 
-// describe adds what only this node knows: the tenant's weight, and engines that have failed.
-func (s *Server) describe(request BeginRequest, call *program.Call, set *resource.Set, service *resource.Service, earlier pastAttempts) scheduler.Call {
+// describe extends DescribeCall by the tenant's weight and the outcome of earlier attempts.
+func (s *Server) describe(request BeginRequest, call *program.Call, set *resource.Set, service *resource.Service, prior priorAttempts) scheduler.Call {
 	summary, _ := s.machine(request.Partition).Summary(request.Admit.Program)
-	description := DescribeCall(request, call, summary, service, time.Now())
-	description.Avoid = earlier.avoid
-	description.MaxWait = max(0, description.MaxWait-earlier.waited)
+	schedulerCall := DescribeCall(request, call, summary, service, time.Now())
+	schedulerCall.Avoid = prior.avoid
+	schedulerCall.MaxWait = max(0, schedulerCall.MaxWait-prior.waited)
 	if tenant, known := set.Tenant(request.Admit.Program.Tenant); known {
-		description.Weight = tenant.Weight
+		schedulerCall.Weight = tenant.Weight
 	}
-	return description
+	return schedulerCall
 }
 
+// dispatch commits the engine of the call's next attempt.
 func (s *Server) dispatch(ctx context.Context, request BeginRequest, call *program.Call, decision scheduler.Decision) (program.Result, error) {
 	command := program.Dispatch{
 		CallID:    call.ID,
@@ -105,7 +107,7 @@
 	return s.propose(ctx, request.Partition, program.Command{Dispatch: &command})
 }
 
-// engineResponse names the engine of the latest committed dispatch.
+// engineResponse returns the response with the engine of the call's latest committed dispatch.
 func (s *Server) engineResponse(request BeginRequest, call *program.Call) (BeginResponse, error) {
 	response := BeginResponse{CallID: call.ID, Attempt: call.Attempt, LeaseMillis: dispatchLease.Milliseconds()}
 	found, pool, exists := findEngine(s.options.Config.Current().Set, request.Admit.Service, call.Engine)
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -8,16 +8,17 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-func (s *Server) remember(decision scheduler.Decision) {
+// recordDecision keeps a call's latest decision for explain, and drops the oldest call over maxDecisions.
+func (s *Server) recordDecision(decision scheduler.Decision) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, known := s.decisions[decision.Call]; !known {
-		s.order = append(s.order, decision.Call)
+		s.decisionOrder = append(s.decisionOrder, decision.Call)
 	}
 	s.decisions[decision.Call] = decision
-	if len(s.order) > decisionsKept {
-		delete(s.decisions, s.order[0])
-		s.order = s.order[1:]
+	if len(s.decisionOrder) > maxDecisions {
+		delete(s.decisions, s.decisionOrder[0])
+		s.decisionOrder = s.decisionOrder[1:]
 	}
 }
 
@@ -28,17 +29,17 @@
 	return ExplainResponse{Found: found, Decision: decision}, nil
 }
 
-func (s *Server) leads(group uint32) bool {
+func (s *Server) isLeader(group uint32) bool {
 	status, known := s.options.Host.Status(group)
 	return known && status.IsLeader
 }
 
 func (s *Server) readProgram(_ context.Context, _ transport.Peer, request ProgramRequest) (ProgramResponse, error) {
-	if !s.leads(request.Partition) {
+	if !s.isLeader(request.Partition) {
 		status, _ := s.options.Host.Status(request.Partition)
-		refusal := apierr.New(apierr.NotLeader, apierr.NotRun, "this node does not lead partition %d", request.Partition)
-		refusal.Leader = status.Leader
-		return ProgramResponse{}, refusal
+		notLeader := apierr.New(apierr.NotLeader, apierr.NotRun, "this node does not lead partition %d", request.Partition)
+		notLeader.Leader = status.Leader
+		return ProgramResponse{}, notLeader
 	}
 	machine := s.machine(request.Partition)
 	summary, known := machine.Summary(request.Program)
@@ -62,7 +63,7 @@
 	return response, nil
 }
 
-// Programs counts the programs of the partitions that this node leads.
+// Programs returns the number of programs in the partitions that this node leads.
 func (s *Server) Programs() int {
 	count := 0
 	for _, status := range s.options.Host.Statuses() {
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	// gapWait is how long a call waits for the one before it to arrive.
-	gapWait = 2 * time.Second
-	// leadershipCheck is how often what waits for a change looks whether this node still leads.
-	leadershipCheck = time.Second
-	// proposeTimeout bounds one commit.
+	// sequenceGapTimeout is how long a call waits for the arrival of its predecessor in the program's sequence.
+	sequenceGapTimeout = 2 * time.Second
+	// leadershipCheckInterval is how often requests that wait for a change check that this node still leads the partition.
+	leadershipCheckInterval = time.Second
+	// proposeTimeout bounds the commit of one command.
 	proposeTimeout = 5 * time.Second
-	// dispatchLease is how long a gateway may take from the answer to the first byte sent.
+	// dispatchLease is how long after the response a gateway may send the first byte to the engine.
 	dispatchLease = 3 * time.Second
-	// retryRatio and retryBurst bound the retries of a pool.
+	// retryRatio is the number of retries of a service allowed per completed call, and retryBurst the number allowed in a burst.
 	retryRatio = 0.2
 	retryBurst = 20
-	// decisionsKept are remembered for explanation.
-	decisionsKept = 1024
+	// maxDecisions bounds the decisions that are kept for explain.
+	maxDecisions = 1024
 )
 
-// Policies gives the compiled policy of a service.
+// Policies provides the compiled policy of a service.
 type Policies interface {
 	ForService(service *resource.Service) (*policy.Policy, error)
 }
 
-// ServerOptions configure a Server.
+// ServerOptions configures a Server.
 type ServerOptions struct {
 	Transport  *transport.Transport
 	Membership *membership.Manager
@@ -55,40 +55,47 @@
 	Engines    engine.ModelEngine
 	Models     Models
 	Limits     *limit.Limiter
-	// Release gives a place on an engine back.
+	// Release frees a slot on an engine.
 	Release func(engine resource.Engine, request owner.ReleaseRequest)
 	Logger  *events.Logger
 }
 
-// Server serves the partitions that this node leads.
+// Server handles requests for the partitions that this node leads. It is safe for concurrent use.
 type Server struct {
 	options ServerOptions
 
-	mutex     sync.Mutex
-	machines  map[uint32]*program.Machine
-	driving   map[string]context.CancelCauseFunc
-	orphans   map[string]time.Time
+	mutex sync.Mutex
+	// machines holds the state machine of each partition that has a replica here.
+	machines map[uint32]*program.Machine
+	// drivers cancels the driver of a call, by call ID.
+	drivers map[string]context.CancelCauseFunc
+	// orphanedSince is when an admitted call was first seen without a driver, by call ID.
+	orphanedSince map[string]time.Time
+	// budgets holds the retry budget of each service.
 	budgets   map[string]*limit.RetryBudget
 	decisions map[string]scheduler.Decision
-	order     []string
+	// decisionOrder lists the call IDs of decisions, the oldest first.
+	decisionOrder []string
+	// releasing holds the cache releases in progress.
 	releasing map[program.HeldCache]bool
-	checks    *executionChecks
+	// checks has a mutex of its own.
+	checks *executionChecks
 }
 
-// errCancelled is the cause when a caller gives up.
-var errCancelled = apierr.New(apierr.Cancelled, apierr.NotRun, "the caller gave up")
+// errCancelled is the cancellation cause of a call whose caller has disconnected.
+var errCancelled = apierr.New(apierr.Cancelled, apierr.NotRun, "the caller cancelled the request")
 
-// NewServer returns a Server and registers its messages.
+// NewServer returns a Server and registers its message handlers.
 func NewServer(options ServerOptions) *Server {
 	server := &Server{
-		options:   options,
-		machines:  make(map[uint32]*program.Machine),
-		driving:   make(map[string]context.CancelCauseFunc),
-		orphans:   make(map[string]time.Time),
-		budgets:   make(map[string]*limit.RetryBudget),
-		decisions: make(map[string]scheduler.Decision),
-		releasing: make(map[program.HeldCache]bool),
-		checks:    newExecutionChecks(),
+		options:       options,
+		machines:      make(map[uint32]*program.Machine),
+		drivers:       make(map[string]context.CancelCauseFunc),
+		orphanedSince: make(map[string]time.Time),
+		budgets:       make(map[string]*limit.RetryBudget),
+		decisions:     make(map[string]scheduler.Decision),
+		releasing:     make(map[program.HeldCache]bool),
+		checks:        newExecutionChecks(),
 	}
 	network := options.Transport
 	transport.Handle(network, beginKind, func(ctx context.Context, _ transport.Peer, request BeginRequest) (BeginResponse, error) {
@@ -98,13 +105,13 @@
 		return server.retry(ctx, request)
 	})
 	transport.Handle(network, finishKind, func(ctx context.Context, _ transport.Peer, request FinishRequest) (CallResponse, error) {
-		return server.change(ctx, request.Partition, program.Command{Complete: &request.Complete})
+		return server.commitChange(ctx, request.Partition, program.Command{Complete: &request.Complete})
 	})
 	transport.Handle(network, failKind, func(ctx context.Context, _ transport.Peer, request FailRequest) (CallResponse, error) {
-		return server.change(ctx, request.Partition, program.Command{Fail: &request.Fail})
+		return server.commitChange(ctx, request.Partition, program.Command{Fail: &request.Fail})
 	})
 	transport.Handle(network, endKind, func(ctx context.Context, _ transport.Peer, request EndRequest) (CallResponse, error) {
-		return server.change(ctx, request.Partition, program.Command{End: &request.End})
+		return server.commitChange(ctx, request.Partition, program.Command{End: &request.End})
 	})
 	transport.HandleOneWay(network, cancelKind, func(_ transport.Peer, request CancelRequest) { server.cancel(request.CallID) })
 	transport.Handle(network, programKind, server.readProgram)
@@ -113,7 +120,7 @@
 	return server
 }
 
-// NewMachine makes and keeps the state machine of a partition; it is replica.Options.NewMachine.
+// NewMachine creates the state machine of a partition. It is for use as replica.Options.NewMachine.
 func (s *Server) NewMachine(group uint32) replica.StateMachine {
 	machine := program.NewMachine()
 	s.mutex.Lock()
@@ -143,13 +150,13 @@
 	}
 	result, ok := value.(program.Result)
 	if !ok {
-		return program.Result{}, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "the state machine gave no result")
+		return program.Result{}, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "the state machine returned no result")
 	}
 	return result, nil
 }
 
-// change commits a command about a call under way. It does not end with the gateway's connection.
-func (s *Server) change(ctx context.Context, group uint32, command program.Command) (CallResponse, error) {
+// commitChange commits a command that changes a call or program, even if the gateway disconnects.
+func (s *Server) commitChange(ctx context.Context, group uint32, command program.Command) (CallResponse, error) {
 	result, err := s.propose(context.WithoutCancel(ctx), group, command)
 	if err != nil {
 		return CallResponse{}, err
@@ -178,7 +185,7 @@
 	return s.budgets[service]
 }
 
-// begin admits a call and drives it until it has an engine, or joins the call that it repeats.
+// begin admits a call and drives it until it is dispatched to an engine, or joins the call that it repeats.
 func (s *Server) begin(ctx context.Context, request BeginRequest) (BeginResponse, error) {
 	result, err := s.admitInOrder(ctx, request)
 	if err != nil {
@@ -190,17 +197,17 @@
 		}
 		return BeginResponse{}, result.Error
 	}
-	response, err := s.follow(ctx, request, result.Call, pastAttempts{})
-	return response, onceAdmitted(err)
+	response, err := s.driveOrJoin(ctx, request, result.Call, priorAttempts{})
+	return response, admittedError(err)
 }
 
-// admitInOrder lets a call that came before its predecessor wait for it, for a bounded time.
+// admitInOrder admits a call. A call that arrives before its predecessor waits for it up to sequenceGapTimeout.
 func (s *Server) admitInOrder(ctx context.Context, request BeginRequest) (program.Result, error) {
 	machine := s.machine(request.Partition)
 	if machine == nil {
 		return program.Result{}, apierr.New(apierr.NotLeader, apierr.NotRun, "this node holds no replica of partition %d", request.Partition)
 	}
-	timer := time.NewTimer(gapWait)
+	timer := time.NewTimer(sequenceGapTimeout)
 	defer timer.Stop()
 	for {
 		changed := machine.Watch(request.Admit.Program)
@@ -218,9 +225,9 @@
 	}
 }
 
-// onceAdmitted keeps a refusal to lead from passing for "not run": the call stands in the log, and
-// whoever repeats it may yet have it driven by the next leader. Only the log's word is NotRun.
-func onceAdmitted(err error) error {
+// admittedError changes the outcome of routing errors to OutcomeUnknown once a call was admitted: it is in the log, and the next
+// leader may still drive it for a repeat. Only a committed failure may be NotRun.
+func admittedError(err error) error {
 	if err == nil || !apierr.Is(err, apierr.NotLeader) && !apierr.Is(err, apierr.PartitionUnavailable) {
 		return err
 	}
@@ -229,22 +236,23 @@
 	return &failure
 }
 
-// deposed tells that this node has ceased to lead a partition; nil if it leads. What waits for a
-// change here would wait in vain once the replica is cut off from the others.
-func (s *Server) deposed(group uint32) error {
+// checkLeadership returns a NotLeader error unless this node leads the partition. Requests that wait for a change must check it:
+// a replica that is cut off from its quorum sees no further changes.
+func (s *Server) checkLeadership(group uint32) error {
 	status, known := s.options.Host.Status(group)
 	if known && status.IsLeader {
 		return nil
 	}
-	refusal := apierr.New(apierr.NotLeader, apierr.OutcomeUnknown, "this node does not lead partition %d any more", group)
-	refusal.Leader = status.Leader
-	return refusal
+	notLeader := apierr.New(apierr.NotLeader, apierr.OutcomeUnknown, "this node no longer leads partition %d", group)
+	notLeader.Leader = status.Leader
+	return notLeader
 }
 
-// follow drives a call that has no driver on this leader, and waits for any other to end.
-func (s *Server) follow(ctx context.Context, request BeginRequest, call *program.Call, earlier pastAttempts) (BeginResponse, error) {
+// driveOrJoin drives a call that has no driver on this leader. Otherwise it waits until the call has ended or is executed by a
+// gateway.
+func (s *Server) driveOrJoin(ctx context.Context, request BeginRequest, call *program.Call, prior priorAttempts) (BeginResponse, error) {
 	machine := s.machine(request.Partition)
-	ticker := time.NewTicker(leadershipCheck)
+	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		changed := machine.Watch(request.Admit.Program)
@@ -258,78 +266,79 @@
 		case current.State == program.Failed:
 			return BeginResponse{}, current.Error
 		case current.State == program.Dispatching && current.Execution == request.Execution:
-			// The answer that named the engine was lost on the way to this very request.
+			// The response with the engine was lost, and the gateway has resent the same request.
 			return s.engineResponse(request, current)
 		case current.State == program.Dispatching && !request.WaitForEnd:
 			return BeginResponse{CallID: current.ID, RunningAt: current.Gateway}, nil
 		case current.State == program.Admitted:
-			if driven, done := s.startDriving(ctx, current.ID); done != nil {
+			if driveCtx, done := s.startDriving(ctx, current.ID); done != nil {
 				defer done()
-				return s.drive(driven, request, current, earlier)
+				return s.drive(driveCtx, request, current, prior)
 			}
 		}
 		select {
 		case <-changed:
 		case <-ticker.C:
-			// The driver may have gone without a change, too.
-			if err := s.deposed(request.Partition); err != nil {
+			// The driver may also have ended without a committed change.
+			if err := s.checkLeadership(request.Partition); err != nil {
 				return BeginResponse{}, err
 			}
 			s.checks.request(call.ID)
 		case <-ctx.Done():
-			return BeginResponse{}, apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "gave up waiting for the call that this one repeats")
+			return BeginResponse{}, apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the caller cancelled the request while it waited for the call that it repeats")
 		}
 	}
 }
 
-// startDriving makes this request the call's only driver here; done is nil if there is one.
-func (s *Server) startDriving(ctx context.Context, callID string) (driven context.Context, done func()) {
+// startDriving makes this request the only driver of a call on this node. It returns a nil done if the call has a driver already.
+func (s *Server) startDriving(ctx context.Context, callID string) (driveCtx context.Context, done func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.driving[callID] != nil {
+	if s.drivers[callID] != nil {
 		return nil, nil
 	}
-	driven, cancel := context.WithCancelCause(ctx)
-	s.driving[callID] = cancel
-	delete(s.orphans, callID)
-	return driven, sync.OnceFunc(func() {
+	driveCtx, cancel := context.WithCancelCause(ctx)
+	s.drivers[callID] = cancel
+	delete(s.orphanedSince, callID)
+	return driveCtx, sync.OnceFunc(func() {
 		s.mutex.Lock()
-		delete(s.driving, callID)
+		delete(s.drivers, callID)
 		s.mutex.Unlock()
 		cancel(nil)
 	})
 }
 
-// cancel ends the wait of a call whose caller is gone.
+// cancel stops the driver of a call whose caller has disconnected.
 func (s *Server) cancel(callID string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if stop := s.driving[callID]; stop != nil {
+	if stop := s.drivers[callID]; stop != nil {
 		stop(errCancelled)
 	}
 }
 
-// drive takes an admitted call through its turn, an engine, and the commit of the dispatch.
-func (s *Server) drive(ctx context.Context, request BeginRequest, call *program.Call, earlier pastAttempts) (BeginResponse, error) {
-	if err := s.awaitTurn(ctx, request, call); err != nil {
+// drive waits for an admitted call's predecessors and a concurrency permit, places the call on an engine, and commits the
+// dispatch.
+func (s *Server) drive(ctx context.Context, request BeginRequest, call *program.Call, prior priorAttempts) (BeginResponse, error) {
+	if err := s.awaitPredecessors(ctx, request, call); err != nil {
 		if apierr.Is(err, apierr.NotLeader) {
 			return BeginResponse{}, err
 		}
-		return BeginResponse{}, s.giveUp(ctx, request, call, err)
+		return BeginResponse{}, s.failCall(ctx, request, call, err)
 	}
 	permit := s.permit(request.Admit.Program, call)
 	if err := s.options.Limits.Acquire(ctx, permit); err != nil {
-		return BeginResponse{}, s.giveUp(ctx, request, call, err)
+		return BeginResponse{}, s.failCall(ctx, request, call, err)
 	}
 	started := time.Now()
-	decision, err := s.place(ctx, request, call, earlier)
-	waited := earlier.waited + time.Since(started)
+	decision, err := s.place(ctx, request, call, prior)
+	waited := prior.waited + time.Since(started)
 	if err != nil {
 		s.options.Limits.Release(permit)
 		if apierr.Is(err, apierr.NotLeader) {
 			return BeginResponse{}, err
 		}
-		return BeginResponse{}, s.giveUp(ctx, request, call, err)
+		return BeginResponse{}, s.failCall(ctx, request, call, err)
 	}
 	result, err := s.dispatch(ctx, request, call, decision)
 	if err == nil && result.Error == nil {
@@ -342,13 +351,13 @@
 		return BeginResponse{}, err
 	}
 	if result.Error.Code == apierr.HistoryConflict {
-		_ = s.giveUp(ctx, request, call, result.Error)
+		_ = s.failCall(ctx, request, call, result.Error)
 		return BeginResponse{Conflict: &result.Mark}, nil
 	}
-	return BeginResponse{}, s.giveUp(ctx, request, call, result.Error)
+	return BeginResponse{}, s.failCall(ctx, request, call, result.Error)
 }
 
-// permit names a call's permit at the tenant's limit on the service.
+// permit returns the request for a call's permit under the tenant's concurrency limit for the service.
 func (s *Server) permit(key program.Key, call *program.Call) limit.Request {
 	request := limit.Request{Tenant: key.Tenant, Service: call.Service, CallID: call.ID}
 	if service, known := s.options.Config.Current().Set.Service(call.Service); known {
@@ -357,8 +366,8 @@
 	return request
 }
 
-// awaitTurn waits until the calls before this one in the chain have ended.
-func (s *Server) awaitTurn(ctx context.Context, request BeginRequest, call *program.Call) error {
+// awaitPredecessors waits until the earlier calls in the program's sequence have ended.
+func (s *Server) awaitPredecessors(ctx context.Context, request BeginRequest, call *program.Call) error {
 	machine := s.machine(request.Partition)
 	service, known := s.options.Config.Current().Set.Service(request.Admit.Service)
 	if !known {
@@ -366,21 +375,21 @@
 	}
 	timer := time.NewTimer(seconds(service.CallSeconds))
 	defer timer.Stop()
-	ticker := time.NewTicker(leadershipCheck)
+	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		changed := machine.Watch(request.Admit.Program)
-		earlier := machine.OpenCallsBefore(request.Admit.Program, call.Sequence)
-		if len(earlier) == 0 {
+		predecessors := machine.OpenCallsBefore(request.Admit.Program, call.Sequence)
+		if len(predecessors) == 0 {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-ticker.C:
-			if err := s.deposed(request.Partition); err != nil {
+			if err := s.checkLeadership(request.Partition); err != nil {
 				return err
 			}
-			s.checks.request(earlier...)
+			s.checks.request(predecessors...)
 		case <-timer.C:
 			return apierr.New(apierr.SequenceGap, apierr.NotRun, "an earlier call of the program did not end in time").WithRetryAfter(time.Second)
 		case <-ctx.Done():
@@ -389,11 +398,12 @@
 	}
 }
 
-// giveUp ends a call that has no engine. Only the log's word makes the refusal NotRun.
-func (s *Server) giveUp(ctx context.Context, request BeginRequest, call *program.Call, cause error) error {
+// failCall commits the failure of a call that has no engine, and returns the error for the gateway. It is NotRun only if the
+// failure was committed.
+func (s *Server) failCall(ctx context.Context, request BeginRequest, call *program.Call, cause error) error {
 	failure := apierr.From(cause, apierr.OutcomeUnknown)
 	if context.Cause(ctx) != nil && !apierr.Is(context.Cause(ctx), apierr.Cancelled) {
-		// The connection to the gateway broke, perhaps for a moment: the gateway may ask again.
+		// The connection to the gateway has failed, and the gateway may resend the request: the call stays open.
 		return failure
 	}
 	result, err := s.propose(context.WithoutCancel(ctx), request.Partition, program.Command{Fail: &program.Fail{
@@ -410,12 +420,12 @@
 	return failure
 }
 
-// retry records a lost attempt, and finds another engine if the call may go again.
+// retry commits a lost attempt, and places the call on another engine if it may be retried.
 func (s *Server) retry(ctx context.Context, request RetryRequest) (BeginResponse, error) {
 	begin := request.Begin
-	// Claimed before the loss is committed: the request that holds the answer so far goes on with
-	// it, rather than a repeat that waits for the end.
-	driven, done := s.startDriving(ctx, begin.Admit.CallID)
+	// The driver is claimed before the loss is committed, so that this request, whose gateway has the partial answer, continues
+	// the call rather than a repeat that waits for its end.
+	driveCtx, done := s.startDriving(ctx, begin.Admit.CallID)
 	if done != nil {
 		defer done()
 	}
@@ -435,23 +445,23 @@
 	if request.EngineWithoutModel != "" && !s.refuteModel(request) {
 		request.Avoid, request.EngineWithoutModel = append(request.Avoid, request.EngineWithoutModel), ""
 	}
-	if refusal := s.refuseRetry(request, result.Call); refusal != nil {
-		return BeginResponse{}, s.giveUp(ctx, begin, result.Call, refusal)
+	if refusal := s.checkRetry(request, result.Call); refusal != nil {
+		return BeginResponse{}, s.failCall(ctx, begin, result.Call, refusal)
 	}
 	if done != nil && result.Call.State == program.Admitted {
-		response, err := s.drive(driven, begin, result.Call, request.pastAttempts())
-		return response, onceAdmitted(err)
+		response, err := s.drive(driveCtx, begin, result.Call, request.priorAttempts())
+		return response, admittedError(err)
 	}
 	if done != nil {
 		done()
 	}
-	response, err := s.follow(ctx, begin, result.Call, request.pastAttempts())
-	return response, onceAdmitted(err)
+	response, err := s.driveOrJoin(ctx, begin, result.Call, request.priorAttempts())
+	return response, admittedError(err)
 }
 
-// refuseRetry applies the service's most attempts and the pool's retry budget. An engine that lacks a model
-// costs neither: it has not failed, and after one refusal it is asked no more.
-func (s *Server) refuseRetry(request RetryRequest, call *program.Call) error {
+// checkRetry enforces the service's MaxAttempts and retry budget. An attempt that was refused because the engine had not loaded
+// the model counts against neither: the engine has not failed, and the retry doesn't use it.
+func (s *Server) checkRetry(request RetryRequest, call *program.Call) error {
 	if call.State != program.Admitted || request.EngineWithoutModel != "" {
 		return nil
 	}
--- a/internal/coordinator/server_test.go
+++ b/internal/coordinator/server_test.go
@@ -17,8 +17,8 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// withService returns a Server whose configuration has service "s" with so many attempts and no retry left.
-func withService(t *testing.T, attempts int) *Server {
+// newTestServer returns a Server with service "s", which has the given MaxAttempts and an empty retry budget.
+func newTestServer(t *testing.T, attempts int) *Server {
 	t.Helper()
 	network := transport.New(transport.Options{Cluster: "c", NodeID: "n", Address: "n", Logger: events.Discard()})
 	members := membership.NewManager(membership.Member{ID: "n", Address: "n"}, nil, membership.DefaultOptions(), network, events.Discard())
@@ -37,54 +37,54 @@
 	return &Server{options: ServerOptions{Config: config}, budgets: map[string]*limit.RetryBudget{"s": limit.NewRetryBudget(0, 0)}}
 }
 
-// TestEngineWithoutModelCostsNoRetry: an attempt that an engine refused, for it lacked the model, is tried
-// again whatever is left of attempts and retries, and counts as no failure later on.
+// TestEngineWithoutModelCostsNoRetry checks that an attempt that was refused because the engine had not loaded the model is
+// retried regardless of MaxAttempts and the retry budget, and doesn't count as a failure later.
 func TestEngineWithoutModelCostsNoRetry(t *testing.T) {
-	server := withService(t, 2)
+	server := newTestServer(t, 2)
 	request := RetryRequest{Begin: BeginRequest{Admit: program.Admit{Service: "s", Model: "m"}}}
-	assert.Assert(t, !server.refuteModel(request), "the pool's engines load no models")
+	assert.Assert(t, !server.refuteModel(request), "the pool is not configured to load models")
 	call := &program.Call{State: program.Admitted, Attempt: 2}
-	message := func() string { return apierr.From(server.refuseRetry(request, call), apierr.Ran).Message }
+	message := func() string { return apierr.From(server.checkRetry(request, call), apierr.Ran).Message }
 
 	assert.Equal(t, message(), "2 engines failed in a row")
 	request.EngineWithoutModel, request.ModelRefusals = "e", 1
-	assert.NilError(t, server.refuseRetry(request, call))
+	assert.NilError(t, server.checkRetry(request, call))
 	request.EngineWithoutModel = ""
 	assert.Equal(t, message(), "the retry budget of the service is used up", "one engine has failed")
 	server.budgets["s"] = limit.NewRetryBudget(0, 1)
-	assert.NilError(t, server.refuseRetry(request, call))
+	assert.NilError(t, server.checkRetry(request, call))
 	call.Attempt = 3
 	assert.Equal(t, message(), "2 engines failed in a row")
 }
 
-// TestTimeInLineIsNotGivenTwice: what a call has waited before an engine refused it, for it lacked the model,
-// is taken from its time in line.
-func TestTimeInLineIsNotGivenTwice(t *testing.T) {
-	server := withService(t, 2)
+// TestQueueTimeIsDeductedFromRetry checks that the queue time before a refusal for a missing model reduces the MaxWait of the
+// retry.
+func TestQueueTimeIsDeductedFromRetry(t *testing.T) {
+	server := newTestServer(t, 2)
 	server.machines = map[uint32]*program.Machine{0: program.NewMachine()}
 	service := &resource.Service{QueueSeconds: 10}
 	wait := func(waitedMillis int64) time.Duration {
-		earlier := RetryRequest{WaitedMillis: waitedMillis}.pastAttempts()
-		return server.describe(BeginRequest{}, &program.Call{}, server.options.Config.Current().Set, service, earlier).MaxWait
+		prior := RetryRequest{WaitedMillis: waitedMillis}.priorAttempts()
+		return server.describe(BeginRequest{}, &program.Call{}, server.options.Config.Current().Set, service, prior).MaxWait
 	}
 	assert.Equal(t, wait(0), 10*time.Second)
 	assert.Equal(t, wait(4000), 6*time.Second)
 	assert.Equal(t, wait(11000), time.Duration(0))
 }
 
-// TestOnceAdmittedIsNeverNotRunByRouting: after a call was admitted, a replica that can't commit any
-// more must not make the caller believe that it was not run; a refusal from the log stays what it is.
-func TestOnceAdmittedIsNeverNotRunByRouting(t *testing.T) {
+// TestRoutingErrorAfterAdmissionIsNotNotRun checks that a routing error after admission is not reported as NotRun, since the call
+// may still run. Committed failures keep their outcome.
+func TestRoutingErrorAfterAdmissionIsNotNotRun(t *testing.T) {
 	outcome := func(code apierr.Code, outcome apierr.Outcome) apierr.Outcome {
-		refusal := apierr.New(code, outcome, "x")
-		refusal.Leader = "other"
-		result := apierr.From(onceAdmitted(refusal), apierr.Ran)
+		original := apierr.New(code, outcome, "x")
+		original.Leader = "other"
+		result := apierr.From(admittedError(original), apierr.Ran)
 		assert.Equal(t, result.Code, code)
-		assert.Equal(t, result.Leader, "other", "the way to the leader is kept")
-		assert.Equal(t, refusal.Outcome, outcome, "the refusal itself is not changed")
+		assert.Equal(t, result.Leader, "other", "the leader is kept")
+		assert.Equal(t, original.Outcome, outcome, "the original error is not modified")
 		return result.Outcome
 	}
-	assert.NilError(t, onceAdmitted(nil))
+	assert.NilError(t, admittedError(nil))
 	assert.Equal(t, outcome(apierr.NotLeader, apierr.NotRun), apierr.OutcomeUnknown)
 	assert.Equal(t, outcome(apierr.PartitionUnavailable, apierr.NotRun), apierr.OutcomeUnknown)
 	assert.Equal(t, outcome(apierr.Overloaded, apierr.NotRun), apierr.NotRun)
