--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -10,14 +10,16 @@
 	"github.com/mountstile/mountstile/internal/program"
 )
 
-// answerWriter gives an answer the form that the caller asked for.
+// answerWriter writes an answer in the format that the caller requested.
 type answerWriter interface {
-	piece(delta engine.Delta)
-	// finish ends the answer; it is called only for a committed one.
+	// addDelta writes a part of the answer, unless the format has only whole answers.
+	addDelta(delta engine.Delta)
+	// finish ends the answer. It is called only after the answer was committed.
 	finish(answer *program.Answer)
-	// abort ends an answer that has begun with an error.
+	// abort ends a started answer with an error.
 	abort(failure *apierr.Error)
-	begun() bool
+	// hasStarted reports whether a part of the answer was written.
+	hasStarted() bool
 }
 
 func newAnswerWriter(w http.ResponseWriter, execution *chatExecution) answerWriter {
@@ -29,7 +31,7 @@
 	if execution.request.Stream {
 		return &streamWriter{w: w, head: head, includeUsage: execution.request.IncludeUsage}
 	}
-	return &wholeWriter{w: w, head: head}
+	return &jsonWriter{w: w, head: head}
 }
 
 type completionHead struct {
@@ -72,17 +74,17 @@
 	}
 }
 
-// wholeWriter answers with one JSON object.
-type wholeWriter struct {
+// jsonWriter writes an answer as one JSON object.
+type jsonWriter struct {
 	w    http.ResponseWriter
 	head completionHead
 }
 
-func (*wholeWriter) piece(engine.Delta)  {}
-func (*wholeWriter) begun() bool         { return false }
-func (*wholeWriter) abort(*apierr.Error) {}
+func (*jsonWriter) addDelta(engine.Delta) {}
+func (*jsonWriter) hasStarted() bool      { return false }
+func (*jsonWriter) abort(*apierr.Error)   {}
 
-func (a *wholeWriter) finish(answer *program.Answer) {
+func (a *jsonWriter) finish(answer *program.Answer) {
 	a.head.Object = "chat.completion"
 	a.w.Header().Set(HeaderOutcome, string(apierr.Ran))
 	writeJSON(a.w, completion{
@@ -92,7 +94,7 @@
 	})
 }
 
-// streamWriter answers with server-sent events.
+// streamWriter writes an answer as server-sent events.
 type streamWriter struct {
 	w            http.ResponseWriter
 	head         completionHead
@@ -118,13 +120,13 @@
 	ToolCalls json.RawMessage `json:"tool_calls,omitempty"`
 }
 
-func (a *streamWriter) begun() bool { return a.started }
+func (a *streamWriter) hasStarted() bool { return a.started }
 
-func (a *streamWriter) piece(delta engine.Delta) {
+func (a *streamWriter) addDelta(delta engine.Delta) {
 	a.choice(streamChoice{Delta: streamDelta{Content: delta.Content, ToolCalls: delta.ToolCalls}})
 }
 
-// choice sends one event; the first names the role.
+// choice writes an event with one choice. The first event has the response headers and the role.
 func (a *streamWriter) choice(choice streamChoice) {
 	if !a.started {
 		a.started = true
@@ -134,7 +136,7 @@
 		a.w.WriteHeader(http.StatusOK)
 		choice.Delta.Role = assistant
 	}
-	a.event(streamChunk{completionHead: a.chunkHead(), Choices: []streamChoice{choice}})
+	a.writeEvent(streamChunk{completionHead: a.chunkHead(), Choices: []streamChoice{choice}})
 }
 
 func (a *streamWriter) chunkHead() completionHead {
@@ -143,38 +145,38 @@
 	return head
 }
 
-func (a *streamWriter) event(value any) {
+func (a *streamWriter) writeEvent(value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return
 	}
-	// A caller that is gone is noticed through the request's context.
+	// A disconnected caller is detected through the request's context.
 	_, _ = a.w.Write(append(append([]byte("data: "), encoded...), "\n\n"...))
 	_ = http.NewResponseController(a.w).Flush()
 }
 
 func (a *streamWriter) finish(answer *program.Answer) {
 	if !a.started {
-		// A stored answer goes out as one piece.
+		// A stored answer is sent as one delta.
 		if delta, err := storedDelta(answer); err == nil {
-			a.piece(delta)
+			a.addDelta(delta)
 		}
 	}
 	reason := answer.FinishReason
 	a.choice(streamChoice{FinishReason: &reason})
 	if a.includeUsage {
 		usage := newUsage(answer.Usage)
-		a.event(streamChunk{completionHead: a.chunkHead(), Choices: []streamChoice{}, Usage: &usage})
+		a.writeEvent(streamChunk{completionHead: a.chunkHead(), Choices: []streamChoice{}, Usage: &usage})
 	}
 	_, _ = a.w.Write([]byte("data: [DONE]\n\n"))
 	_ = http.NewResponseController(a.w).Flush()
 }
 
-// storedDelta gives a stored answer the form of one piece of a stream.
+// storedDelta converts a stored answer to one delta of a stream.
 func storedDelta(answer *program.Answer) (engine.Delta, error) {
 	var stored engine.AssistantMessage
 	if err := json.Unmarshal(answer.Message, &stored); err != nil {
-		return engine.Delta{}, apierr.New(apierr.Internal, apierr.Ran, "the stored answer can't be read: %s", err)
+		return engine.Delta{}, apierr.New(apierr.Internal, apierr.Ran, "decoding the stored answer: %s", err)
 	}
 	delta := engine.Delta{ToolCalls: indexedToolCalls(stored.ToolCalls)}
 	if stored.Content != nil {
@@ -183,4 +185,4 @@
 	return delta, nil
 }
 
-func (a *streamWriter) abort(failure *apierr.Error) { a.event(newErrorBody(failure)) }
+func (a *streamWriter) abort(failure *apierr.Error) { a.writeEvent(newErrorBody(failure)) }
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -18,12 +18,12 @@
 // repeatableMethods are idempotent by their definition (RFC 9110, section 9.2.2).
 var repeatableMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete}
 
-// ownHeaders are this product's; back ends do not get them. Neither do they get the caller's key.
-var ownHeaders = []string{
+// unforwardedHeaders are not sent to application engines: this product's request headers and the caller's API key.
+var unforwardedHeaders = []string{
 	HeaderProgram, HeaderParent, HeaderSequence, HeaderRepeatable, HeaderHistory, HeaderTokenBudget, "Authorization",
 }
 
-// applicationExecution takes one call of an application engine through its life.
+// applicationExecution executes one call of an application engine.
 type applicationExecution struct {
 	execution
 	forwarded engine.ApplicationRequest
@@ -35,9 +35,9 @@
 		g.fail(w, err)
 		return
 	}
-	ctx, cancel := executionContext(r, call.identity.idempotencyKey, call.limit())
+	ctx, cancel := executionContext(r, call.identity.idempotencyKey, call.timeout())
 	defer cancel()
-	answer, err := call.drive(ctx, w, call.book, call.send)
+	answer, err := call.drive(ctx, w, call.admit, call.send)
 	g.options.Metrics.duration.WithLabelValues(call.service).Observe(time.Since(call.started).Seconds())
 	if err != nil {
 		w.Header().Set(HeaderCall, call.begin.Admit.CallID)
@@ -49,67 +49,67 @@
 }
 
 func (g *Gateway) prepareApplication(w http.ResponseWriter, r *http.Request) (*applicationExecution, error) {
-	who, err := g.authenticate(r)
+	caller, err := g.authenticate(r)
 	if err != nil {
 		return nil, err
 	}
 	name := r.PathValue("service")
-	service, known := who.set.Service(name)
-	if !known || service.Type != resource.ServiceApplication || !who.allowed(service) {
+	service, known := caller.set.Service(name)
+	if !known || service.Type != resource.ServiceApplication || !caller.allowed(service) {
 		return nil, apierr.New(apierr.NotFound, apierr.NotRun, "there is no application service %q", name)
 	}
 	body, err := g.readBody(w, r)
 	if err != nil {
 		return nil, err
 	}
-	place, err := readIdentity(r, who.name)
+	ident, err := readIdentity(r, caller.name)
 	if err != nil {
 		return nil, err
 	}
-	partitionID, err := g.options.Coordinator.Locate(who.tenant.HomeRegion, who.name, place.root)
+	partitionID, err := g.options.Coordinator.Locate(caller.tenant.HomeRegion, caller.name, ident.root)
 	if err != nil {
 		return nil, err
 	}
 	call := &applicationExecution{
-		execution: execution{gateway: g, identity: place, service: name, settings: service, started: time.Now()},
-		forwarded: forwardedRequest(r, body, place),
+		execution: execution{gateway: g, identity: ident, service: name, settings: service, started: time.Now()},
+		forwarded: forwardedRequest(r, body, ident),
 	}
-	call.begin = call.beginRequest(r, partitionID, who.tenant, body)
+	call.begin = call.beginRequest(r, partitionID, caller.tenant, body)
 	return call, nil
 }
 
-// forwardedRequest is what the back end gets.
-func forwardedRequest(r *http.Request, body []byte, place identity) engine.ApplicationRequest {
+// forwardedRequest returns the request to the application engine.
+func forwardedRequest(r *http.Request, body []byte, ident identity) engine.ApplicationRequest {
 	header := r.Header.Clone()
-	for _, own := range ownHeaders {
-		header.Del(own)
+	for _, name := range unforwardedHeaders {
+		header.Del(name)
 	}
 	return engine.ApplicationRequest{
 		Method: r.Method, Path: r.PathValue("path"), Query: r.URL.RawQuery, Header: header, Body: body,
-		Program: coordinator.CacheID(place.key),
+		Program: coordinator.CacheID(ident.key),
 	}
 }
 
 func (e *applicationExecution) beginRequest(r *http.Request, partitionID uint32, tenant *resource.Tenant, body []byte) coordinator.BeginRequest {
-	place := e.identity
+	ident := e.identity
 	repeatable := slices.Contains(repeatableMethods, r.Method)
-	if place.repeatable != nil {
-		repeatable = *place.repeatable
+	if ident.repeatable != nil {
+		repeatable = *ident.repeatable
 	}
 	return coordinator.BeginRequest{
 		Partition: partitionID,
 		Execution: newCallID(),
 		Admit: program.Admit{
 			CallID:         newCallID(),
-			Program:        place.key,
+			Program:        ident.key,
 			Service:        e.service,
 			Gateway:        e.gateway.options.NodeID,
-			Sequence:       place.sequence,
-			IdempotencyKey: place.idempotencyKey,
+			Sequence:       ident.sequence,
+			IdempotencyKey: ident.idempotencyKey,
 			BodyHash:       bodyHash([]byte(r.Method), []byte(r.URL.RequestURI()), body),
 			Repeatable:     repeatable,
-			Limits:         place.limits(tenant),
-			OwnTokens:      place.ownTokens,
+			Limits:         ident.limits(tenant),
+			OwnTokens:      ident.ownTokens,
 		},
 	}
 }
@@ -132,13 +132,13 @@
 	}
 }
 
-// send makes one attempt; a lost one goes back to the coordinator, which alone decides whether the
-// call may go again.
-func (e *applicationExecution) send(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, asked time.Time) (*program.Answer, *coordinator.RetryRequest, error) {
+// send makes one attempt. It returns a RetryRequest for a lost attempt, since only the coordinator decides whether the call may be
+// sent again.
+func (e *applicationExecution) send(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, requestedAt time.Time) (*program.Answer, *coordinator.RetryRequest, error) {
 	target := *response.Engine
 	failed := true
 	defer func() { e.release(target, response.CallID, failed, 0) }()
-	if e.gateway.options.Pauses.PausedSince(asked) {
+	if e.gateway.options.Pauses.PausedSince(requestedAt) {
 		failed = false
 		return nil, e.retry(response, true), nil
 	}
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -12,7 +12,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// chatRequest is a checked chat-completions request.
+// chatRequest is a validated chat-completions request.
 type chatRequest struct {
 	Model        string
 	Messages     []program.Message
@@ -22,7 +22,7 @@
 	Parameters   engine.Parameters
 }
 
-// chatFields are the members that this node reads; all others pass through unread.
+// chatFields are the fields of a request that this node interprets. All others are passed to the engine as Parameters.
 type chatFields struct {
 	Model         string            `json:"model"`
 	Messages      []program.Message `json:"messages"`
@@ -41,7 +41,7 @@
 
 const assistant = "assistant"
 
-// parseChat checks a request body.
+// parseChat decodes and validates a request body. Errors: InvalidRequest with outcome NotRun.
 func parseChat(body []byte) (chatRequest, error) {
 	var fields chatFields
 	var parameters engine.Parameters
@@ -71,18 +71,18 @@
 	case c.MaxTokens < 0:
 		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "must be above 0").WithField("max_tokens")
 	case fields.N != nil && *fields.N != 1:
-		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "one choice a call is served").WithField("n")
+		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "only 1 choice per request is supported").WithField("n")
 	}
 	for _, message := range c.Messages {
 		var role messageRole
 		if json.Unmarshal(message, &role) != nil || role.Role == "" {
-			return apierr.New(apierr.InvalidRequest, apierr.NotRun, "each message is an object with a role").WithField("messages")
+			return apierr.New(apierr.InvalidRequest, apierr.NotRun, "each message must be an object with a role").WithField("messages")
 		}
 	}
 	return nil
 }
 
-// splitHistory guesses where the new messages begin: after the last answer.
+// splitHistory returns the assumed index of the first new message: the one after the last answer.
 func splitHistory(messages []program.Message) int {
 	for index := len(messages) - 1; index >= 0; index-- {
 		var role messageRole
@@ -103,9 +103,9 @@
 	execution.run(w, r)
 }
 
-// prepareChat checks everything that can be checked on this node.
+// prepareChat authenticates and validates a request, and returns its execution without contacting other nodes.
 func (g *Gateway) prepareChat(w http.ResponseWriter, r *http.Request, started time.Time) (*chatExecution, error) {
-	who, err := g.authenticate(r)
+	caller, err := g.authenticate(r)
 	if err != nil {
 		return nil, err
 	}
@@ -117,26 +117,26 @@
 	if err != nil {
 		return nil, err
 	}
-	name, service, known := who.set.ServiceOfModel(request.Model)
-	if !known || !who.allowed(service) {
+	name, service, known := caller.set.ServiceOfModel(request.Model)
+	if !known || !caller.allowed(service) {
 		return nil, apierr.New(apierr.UnknownModel, apierr.NotRun, "there is no model %q", request.Model).WithField("model")
 	}
-	place, err := readIdentity(r, who.name)
+	ident, err := readIdentity(r, caller.name)
 	if err != nil {
 		return nil, err
 	}
 	if request.MaxTokens == 0 || request.MaxTokens > service.MaxTokens {
 		request.MaxTokens = service.MaxTokens
 	}
-	partitionID, err := g.options.Coordinator.Locate(who.tenant.HomeRegion, who.name, place.root)
+	partitionID, err := g.options.Coordinator.Locate(caller.tenant.HomeRegion, caller.name, ident.root)
 	if err != nil {
 		return nil, err
 	}
 	execution := &chatExecution{
-		execution: execution{gateway: g, identity: place, service: name, settings: service, started: started},
+		execution: execution{gateway: g, identity: ident, service: name, settings: service, started: started},
 		request:   request,
 	}
-	execution.begin = execution.beginRequest(partitionID, who.tenant, bodyHash(body))
+	execution.begin = execution.beginRequest(partitionID, caller.tenant, bodyHash(body))
 	return execution, nil
 }
 
@@ -158,7 +158,7 @@
 		Messages:       messages,
 	}
 	if !e.identity.deltaHistory {
-		// Only what is new travels; the hash chain shows that the rest is what is stored.
+		// Only the new messages are sent. The hash chain verifies that the others equal the stored history.
 		split := splitHistory(messages)
 		admit.Base = program.HistoryMark{}.Extend(messages[:split])
 		admit.Messages = messages[split:]
--- a/internal/gateway/chat_execution.go
+++ b/internal/gateway/chat_execution.go
@@ -16,47 +16,47 @@
 	"github.com/mountstile/mountstile/internal/program"
 )
 
-// finishLength is the reason of an answer that its token limit has ended.
-const finishLength = "length"
+// finishReasonLength is the finish reason of an answer that has reached its token limit.
+const finishReasonLength = "length"
 
-// chatExecution takes one model call from its booking to the last byte.
+// chatExecution executes one chat-completions call, from admission to the last byte of the response.
 type chatExecution struct {
 	execution
 	request chatRequest
 	writer  answerWriter
-	// live lets repeats of the call follow its answer while this request executes it.
-	live *livePublisher
+	// publisher publishes the answer to repeats of the call while this request executes it. It is nil otherwise.
+	publisher *answerPublisher
 
-	// content and toolCalls are the answer so far, over all attempts.
-	content   strings.Builder
-	toolCalls toolCallMerger
-	pace      engine.Pace
-	usage     usageCounter
-	finish    string
+	// content and toolCalls are the answer so far, of all attempts.
+	content      strings.Builder
+	toolCalls    toolCallMerger
+	pace         engine.Pace
+	usage        usageCounter
+	finishReason string
 }
 
 func (e *chatExecution) run(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := executionContext(r, e.identity.idempotencyKey, e.limit())
+	ctx, cancel := executionContext(r, e.identity.idempotencyKey, e.timeout())
 	defer cancel()
 	if e.request.Stream {
-		e.follow = e.followLive
+		e.follow = e.followRunning
 	}
-	answer, err := e.drive(ctx, w, e.bookHistory, e.attempt)
-	e.live.close()
+	answer, err := e.drive(ctx, w, e.admitWithHistory, e.attempt)
+	e.publisher.close()
 	e.gateway.options.Metrics.duration.WithLabelValues(e.service).Observe(time.Since(e.started).Seconds())
 	if err != nil {
 		e.writeFailure(w, err)
 		return
 	}
-	e.count(answer)
-	if err := e.passRest(w, answer); err != nil {
+	e.recordMetrics(answer)
+	if err := e.writeRemainder(w, answer); err != nil {
 		e.writeFailure(w, err)
 		return
 	}
 	e.ensureWriter(w).finish(answer)
 }
 
-func (e *chatExecution) count(answer *program.Answer) {
+func (e *chatExecution) recordMetrics(answer *program.Answer) {
 	metrics := e.gateway.options.Metrics
 	metrics.calls.WithLabelValues(e.service).Inc()
 	metrics.tokens.WithLabelValues(e.service, "prompt").Add(float64(answer.Usage.Prompt))
@@ -64,9 +64,9 @@
 	metrics.tokens.WithLabelValues(e.service, "completion").Add(float64(answer.Usage.Completion))
 }
 
-// writeFailure answers with an error, or ends a stream that has begun with an error event.
+// writeFailure responds with an error, or ends a started stream with an error event.
 func (e *chatExecution) writeFailure(w http.ResponseWriter, err error) {
-	if e.writer == nil || !e.writer.begun() {
+	if e.writer == nil || !e.writer.hasStarted() {
 		w.Header().Set(HeaderCall, e.begin.Admit.CallID)
 		e.gateway.fail(w, err)
 		return
@@ -76,7 +76,7 @@
 	e.writer.abort(failure)
 }
 
-// ensureWriter makes the answer's form when the first piece, or the whole, is there.
+// ensureWriter returns the answer's writer, which is created when the first output is available.
 func (e *chatExecution) ensureWriter(w http.ResponseWriter) answerWriter {
 	if e.writer == nil {
 		e.writer = newAnswerWriter(w, e)
@@ -84,32 +84,33 @@
 	return e.writer
 }
 
-// followLive streams what another gateway has of the running answer. If that gateway is lost, this
-// one may take the call over, and then continues from the text that it holds.
-func (e *chatExecution) followLive(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse) {
-	e.live.close()
-	e.live = nil
+// followRunning streams the running answer from the gateway that executes the call. If that gateway fails, this one may execute
+// the call, and then continues after the content that it has streamed.
+func (e *chatExecution) followRunning(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse) {
+	e.publisher.close()
+	e.publisher = nil
 	read := 0
-	e.gateway.options.AnswerRelay.follow(ctx, response.RunningAt, response.CallID, func(content string, pieces int64) bool {
-		held := e.content.String()[min(read, e.content.Len()):]
+	e.gateway.options.AnswerRelay.follow(ctx, response.RunningAt, response.CallID, func(content string, deltas int64) bool {
+		buffered := e.content.String()[min(read, e.content.Len()):]
 		read += len(content)
-		overlap := min(len(held), len(content))
-		if held[:overlap] != content[:overlap] {
-			// The call was executed anew, with another answer; passRest tells the caller.
+		overlap := min(len(buffered), len(content))
+		if buffered[:overlap] != content[:overlap] {
+			// The call was executed again with another answer; writeRemainder returns the error.
 			return false
 		}
 		if added := content[overlap:]; added != "" {
 			e.content.WriteString(added)
-			e.usage.follow(pieces)
-			e.ensureWriter(w).piece(engine.Delta{Content: added})
+			e.usage.follow(deltas)
+			e.ensureWriter(w).addDelta(engine.Delta{Content: added})
 		}
 		return true
 	})
 }
 
-// passRest sends what a followed answer has beyond the text that was streamed already.
-func (e *chatExecution) passRest(w http.ResponseWriter, answer *program.Answer) error {
-	if !e.joined || e.writer == nil || !e.writer.begun() {
+// writeRemainder writes the part of a joined answer after the content that was streamed already. It returns an error if the
+// answer doesn't continue that content.
+func (e *chatExecution) writeRemainder(w http.ResponseWriter, answer *program.Answer) error {
+	if !e.joined || e.writer == nil || !e.writer.hasStarted() {
 		return nil
 	}
 	stored, err := storedDelta(answer)
@@ -117,19 +118,19 @@
 		return err
 	}
 	rest, continues := strings.CutPrefix(stored.Content, e.content.String())
-	if !continues || e.toolCalls.begun() {
-		return apierr.New(apierr.EngineFailed, apierr.Ran, "the call was executed anew and its answer differs from what was streamed; repeat with the same key to get it")
+	if !continues || e.toolCalls.hasStarted() {
+		return apierr.New(apierr.EngineFailed, apierr.Ran, "the call was executed again and its answer differs from the streamed part; retry with the same key to get it")
 	}
 	if rest != "" || len(stored.ToolCalls) > 0 {
-		e.writer.piece(engine.Delta{Content: rest, ToolCalls: stored.ToolCalls})
+		e.writer.addDelta(engine.Delta{Content: rest, ToolCalls: stored.ToolCalls})
 	}
 	return nil
 }
 
-// bookHistory admits the call. If the guess about where the new messages begin was wrong, it is
-// made again from what is stored.
-func (e *chatExecution) bookHistory(ctx context.Context) (coordinator.BeginResponse, error) {
-	response, err := e.book(ctx)
+// admitWithHistory admits the call. If splitHistory was wrong about the first new message, the messages are split after the
+// stored history instead.
+func (e *chatExecution) admitWithHistory(ctx context.Context) (coordinator.BeginResponse, error) {
+	response, err := e.admit(ctx)
 	if err != nil || response.Conflict == nil {
 		return response, err
 	}
@@ -141,7 +142,7 @@
 	e.begin.Admit.CallID = newCallID()
 	e.begin.Admit.Base = stored
 	e.begin.Admit.Messages = messages[stored.Count:]
-	response, err = e.book(ctx)
+	response, err = e.admit(ctx)
 	if err == nil && response.Conflict != nil {
 		return response, historyConflict(*response.Conflict)
 	}
@@ -154,15 +155,15 @@
 		stored.Count, HeaderHistory, historyDelta)
 }
 
-// attempt sends the call to one engine. It returns the answer, or how to go on, or a failure.
-func (e *chatExecution) attempt(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, asked time.Time) (*program.Answer, *coordinator.RetryRequest, error) {
+// attempt sends the call to one engine. It returns the committed answer, a RetryRequest, or a failure.
+func (e *chatExecution) attempt(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, requestedAt time.Time) (*program.Answer, *coordinator.RetryRequest, error) {
 	target := *response.Engine
 	failed := true
 	e.pace = engine.Pace{}
 	defer func() { e.release(target, response.CallID, failed, e.pace.Step()) }()
-	if e.gateway.options.Pauses.PausedSince(asked) {
+	if e.gateway.options.Pauses.PausedSince(requestedAt) {
 		failed = false
-		return nil, e.retryAfter(response, true), nil
+		return nil, e.retryRequest(response, true), nil
 	}
 	w.Header().Set(HeaderEngine, target.Name)
 	err := e.stream(ctx, w, target, response)
@@ -174,15 +175,15 @@
 		failed = false
 		return nil, nil, e.abandon(response.CallID, response.Attempt)
 	}
-	return e.afterFailure(ctx, response, err, &failed)
+	return e.handleFailure(ctx, response, err, &failed)
 }
 
-// afterFailure decides what a failed attempt means.
-func (e *chatExecution) afterFailure(ctx context.Context, response coordinator.BeginResponse, cause error, failed *bool) (*program.Answer, *coordinator.RetryRequest, error) {
+// handleFailure decides whether a failed attempt is retried. It sets *failed to false if the engine has not failed.
+func (e *chatExecution) handleFailure(ctx context.Context, response coordinator.BeginResponse, cause error, failed *bool) (*program.Answer, *coordinator.RetryRequest, error) {
 	e.gateway.options.Metrics.retries.WithLabelValues(e.service).Inc()
 	var noModel *engine.ErrNoModel
 	if errors.As(cause, &noModel) {
-		// The engine works, and did not run the call: it has loaded another model meanwhile.
+		// The engine is healthy and did not run the call: it has loaded another model since the placement.
 		*failed = false
 		return nil, e.withSpent(e.retryWithoutModel(response)), nil
 	}
@@ -191,51 +192,52 @@
 	var refused *engine.ErrRefused
 	switch {
 	case errors.As(cause, &undelivered):
-		return nil, e.retryAfter(response, true), nil
+		return nil, e.retryRequest(response, true), nil
 	case errors.As(cause, &refused) && !refused.Temporary():
 		*failed = false
-		if e.begun() {
-			// An engine has taken the caller's request: what this one refuses is to go on with the answer.
-			return nil, e.retryAfter(response, false), nil
+		if e.hasStarted() {
+			// Another engine has accepted the request, so this one refuses only to resume the partial answer.
+			return nil, e.retryRequest(response, false), nil
 		}
 		failure := apierr.New(apierr.InvalidRequest, apierr.Ran, "%s", refused)
 		return nil, nil, e.settleFailure(ctx, response, failure, &program.Usage{})
-	case e.toolCalls.begun():
-		// A cut-off tool call can't be continued on another engine from the pieces already sent.
+	case e.toolCalls.hasStarted():
+		// Another engine can't resume a partial tool call.
 		failure := apierr.New(apierr.EngineFailed, apierr.Ran, "%s", cause)
 		return nil, nil, e.settleFailure(ctx, response, failure, nil)
 	}
-	return nil, e.retryAfter(response, false), nil
+	return nil, e.retryRequest(response, false), nil
 }
 
-// begun tells whether a part of the answer is here.
-func (e *chatExecution) begun() bool { return e.content.Len() > 0 || e.toolCalls.begun() }
+// hasStarted reports whether a part of the answer was received.
+func (e *chatExecution) hasStarted() bool { return e.content.Len() > 0 || e.toolCalls.hasStarted() }
 
-// retryAfter asks for another attempt.
-func (e *chatExecution) retryAfter(response coordinator.BeginResponse, undelivered bool) *coordinator.RetryRequest {
+// retryRequest returns the request for another attempt.
+func (e *chatExecution) retryRequest(response coordinator.BeginResponse, undelivered bool) *coordinator.RetryRequest {
 	return e.withSpent(e.retry(response, undelivered))
 }
 
-// withSpent tells what the call costs if there is no other attempt: that of which its caller has a part is not free.
+// withSpent sets the cost of the call for the case that there is no other attempt. A partial answer that the caller has received
+// is charged.
 func (e *chatExecution) withSpent(request *coordinator.RetryRequest) *coordinator.RetryRequest {
-	if e.writer != nil && e.writer.begun() {
+	if e.writer != nil && e.writer.hasStarted() {
 		request.Spent = e.usage.usage().Total()
 	}
 	return request
 }
 
-// stream passes an engine's answer on, all but its end.
+// stream forwards an engine's answer to the caller, except for its end, which must wait for the commit.
 func (e *chatExecution) stream(ctx context.Context, w http.ResponseWriter, target engine.Target, response coordinator.BeginResponse) error {
-	if e.live == nil && e.identity.idempotencyKey != "" {
-		e.live = e.gateway.options.AnswerRelay.publish(response.CallID, e.content.String(), e.usage.completion())
+	if e.publisher == nil && e.identity.idempotencyKey != "" {
+		e.publisher = e.gateway.options.AnswerRelay.publish(response.CallID, e.content.String(), e.usage.completion())
 	}
 	messages := append(response.History, e.request.Messages...)
-	e.usage.begin(promptBytes(messages) / program.BytesPerToken)
+	e.usage.startAttempt(promptBytes(messages) / program.BytesPerToken)
 	resumed := e.content.Len() > 0
 	if resumed && e.usage.completion() >= e.request.MaxTokens {
-		// Only the end of the answer was lost.
-		if e.finish == "" {
-			e.finish = finishLength
+		// Only the end of the answer was lost: there are no tokens left to generate.
+		if e.finishReason == "" {
+			e.finishReason = finishReasonLength
 		}
 		return nil
 	}
@@ -249,74 +251,74 @@
 		CallID:     response.CallID,
 		Attempt:    response.Attempt,
 	}
-	watched, dog := watch(ctx, e.settings)
-	defer dog.stop()
-	pieces, err := e.gateway.options.Models.Chat(watched, target, chat)
+	attemptCtx, stallTimer := startWatchdog(ctx, e.settings)
+	defer stallTimer.stop()
+	deltas, err := e.gateway.options.Models.Chat(attemptCtx, target, chat)
 	if err != nil {
-		return e.attemptFailure(watched, response, err)
+		return e.attemptFailure(attemptCtx, response, err)
 	}
-	defer pieces.Close()
+	defer deltas.Close()
 	if resumed {
 		e.gateway.options.Logger.Emit(events.EngineResumed, events.F("call", response.CallID), events.F("engine", target.Name))
 	}
 	for {
-		delta, err := pieces.Next()
+		delta, err := deltas.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return e.attemptFailure(watched, response, err)
+			return e.attemptFailure(attemptCtx, response, err)
 		}
-		dog.heard()
+		stallTimer.reset()
 		if delta.Content != "" || len(delta.ToolCalls) > 0 {
 			e.pace.Note(time.Now())
 			if e.writer == nil {
 				e.gateway.options.Metrics.firstToken.WithLabelValues(e.service).Observe(time.Since(e.started).Seconds())
 			}
 		}
-		e.take(w, delta)
+		e.handleDelta(w, delta)
 	}
 }
 
-// attemptFailure tells a stalled engine from one that has failed by itself.
-func (e *chatExecution) attemptFailure(watched context.Context, response coordinator.BeginResponse, err error) error {
+// attemptFailure returns the error of an attempt, which is ErrBroken if the watchdog has cancelled it.
+func (e *chatExecution) attemptFailure(attemptCtx context.Context, response coordinator.BeginResponse, err error) error {
 	var stalled *errStalled
-	if !errors.As(context.Cause(watched), &stalled) {
+	if !errors.As(context.Cause(attemptCtx), &stalled) {
 		return err
 	}
 	e.gateway.options.Logger.Emit(events.EngineStalled, events.F("call", response.CallID), events.F("engine", response.Engine.Name), events.F("seconds", stalled.Limit.Seconds()))
 	return &engine.ErrBroken{Cause: stalled}
 }
 
-// take adds a piece to the answer and passes it on.
-func (e *chatExecution) take(w http.ResponseWriter, delta engine.Delta) {
+// handleDelta adds a delta to the answer and forwards it.
+func (e *chatExecution) handleDelta(w http.ResponseWriter, delta engine.Delta) {
 	e.content.WriteString(delta.Content)
 	if delta.Content != "" {
-		e.live.add(delta.Content)
+		e.publisher.add(delta.Content)
 	}
 	e.toolCalls.add(delta.ToolCalls)
-	isPiece := delta.Content != "" || len(delta.ToolCalls) > 0
-	if isPiece {
-		e.usage.piece()
-		e.finish = ""
+	hasOutput := delta.Content != "" || len(delta.ToolCalls) > 0
+	if hasOutput {
+		e.usage.addDelta()
+		e.finishReason = ""
 	}
 	if delta.FinishReason != "" {
-		e.finish = delta.FinishReason
+		e.finishReason = delta.FinishReason
 	}
 	if delta.Usage != nil {
-		e.usage.tell(*delta.Usage)
+		e.usage.report(*delta.Usage)
 	}
-	if isPiece {
-		e.ensureWriter(w).piece(delta)
+	if hasOutput {
+		e.ensureWriter(w).addDelta(delta)
 	}
 }
 
-// commit assembles and stores the answer; only then does the caller get its end.
+// commit assembles and commits the answer. The caller gets the end of the answer only afterwards.
 func (e *chatExecution) commit(ctx context.Context, response coordinator.BeginResponse) (*program.Answer, *coordinator.RetryRequest, error) {
 	message, err := engine.NewAssistantMessage(e.content.String(), e.toolCalls.encoded())
 	if err != nil {
 		return nil, nil, err
 	}
-	answer := program.Answer{Message: message, FinishReason: e.finish, Model: e.request.Model, Usage: e.usage.usage()}
+	answer := program.Answer{Message: message, FinishReason: e.finishReason, Model: e.request.Model, Usage: e.usage.usage()}
 	return e.store(ctx, response, answer)
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -14,8 +14,8 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// execution takes one call from its booking to its commit. What is sent to an engine, and how its
-// answer is taken, is the caller's: see chatExecution and applicationExecution.
+// execution takes one call from its admission to the commit of its answer. chatExecution and applicationExecution implement the
+// attempts at engines.
 type execution struct {
 	gateway  *Gateway
 	identity identity
@@ -23,30 +23,30 @@
 	settings *resource.Service
 	started  time.Time
 	begin    coordinator.BeginRequest
-	// follow, if set, passes on the running answer of the call which this one repeats.
+	// follow, if set, forwards the running answer of the call that this one repeats.
 	follow func(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse)
-	// joined is set if the answer is that of the call which this one repeats.
+	// joined is set if the answer is that of the call that this one repeats.
 	joined bool
 	// avoid are the engines on which the call has failed.
 	avoid []string
-	// refusals counts the attempts that an engine refused, for it had not loaded the model.
+	// refusals counts the attempts that were refused because the engine had not loaded the model.
 	refusals int
 }
 
-// attempt sends a call to the engine of a response. It returns the committed answer, or how to go
-// on, or a failure.
-type attempt func(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, asked time.Time) (*program.Answer, *coordinator.RetryRequest, error)
+// attempt sends a call to the engine of a response. It returns the committed answer, a RetryRequest, or a failure. requestedAt
+// is when the response was requested from the coordinator: the attempt isn't sent if the process was paused since.
+type attempt func(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, requestedAt time.Time) (*program.Answer, *coordinator.RetryRequest, error)
 
-// limit is how long the call may take in all.
-func (e *execution) limit() time.Duration {
+// timeout returns the limit on the call's total time.
+func (e *execution) timeout() time.Duration {
 	return time.Duration((e.settings.CallSeconds + e.settings.QueueSeconds) * float64(time.Second))
 }
 
-// drive books a call and makes attempts until one is committed or the coordinator refuses another.
-func (e *execution) drive(ctx context.Context, w http.ResponseWriter, book func(context.Context) (coordinator.BeginResponse, error), try attempt) (*program.Answer, error) {
+// drive admits a call and makes attempts until one is committed or the coordinator refuses another.
+func (e *execution) drive(ctx context.Context, w http.ResponseWriter, admit func(context.Context) (coordinator.BeginResponse, error), try attempt) (*program.Answer, error) {
 	defer e.hold()()
-	asked := time.Now()
-	response, err := book(ctx)
+	requestedAt := time.Now()
+	response, err := admit(ctx)
 	for {
 		if err != nil {
 			return nil, err
@@ -56,8 +56,8 @@
 				e.follow(ctx, w, response)
 			}
 			e.begin.WaitForEnd = true
-			asked = time.Now()
-			response, err = book(ctx)
+			requestedAt = time.Now()
+			response, err = admit(ctx)
 			continue
 		}
 		if response.Answer != nil {
@@ -65,14 +65,14 @@
 			e.gateway.options.Metrics.joinedCalls.Inc()
 			return response.Answer, nil
 		}
-		// The call may be one that an earlier request with the same key has begun.
+		// The call may have been admitted by an earlier request with the same key.
 		e.begin.Admit.CallID = response.CallID
 		w.Header().Set(HeaderCall, response.CallID)
-		answer, retry, failure := try(ctx, w, response, asked)
+		answer, retry, failure := try(ctx, w, response, requestedAt)
 		if retry == nil {
 			return answer, failure
 		}
-		asked = time.Now()
+		requestedAt = time.Now()
 		response, err = e.gateway.options.Coordinator.Retry(ctx, *retry)
 		if err != nil && ctx.Err() != nil {
 			return nil, e.abandon(e.begin.Admit.CallID, retry.Attempt)
@@ -80,25 +80,26 @@
 	}
 }
 
-// hold makes this node answer for the execution until release is called.
+// hold keeps the execution in the set that coordinators check until release is called.
 func (e *execution) hold() (release func()) {
 	return e.gateway.options.Executions.Hold(e.begin.Execution)
 }
 
-// book admits the call; a caller that leaves while it waits is reported to the coordinator.
-func (e *execution) book(ctx context.Context) (coordinator.BeginResponse, error) {
+// admit admits the call and waits for an engine. If the context ends meanwhile, the coordinator is notified.
+func (e *execution) admit(ctx context.Context) (coordinator.BeginResponse, error) {
 	client := e.gateway.options.Coordinator
 	stop := context.AfterFunc(ctx, func() { client.Cancel(e.begin.Partition, e.begin.Admit.CallID) })
 	defer stop()
 	return client.Begin(ctx, e.begin)
 }
 
-// release gives the place on the engine back and tells its owner whether it worked, and how long its
-// steps took, if that is known.
+// release frees the slot on the engine, and reports to the engine's owner whether the attempt failed and how long its steps took.
+// A step of 0 means unknown.
 func (e *execution) release(target engine.Target, callID string, failed bool, step time.Duration) {
 	e.gateway.options.Release(e.engineResource(target), owner.ReleaseRequest{Engine: target.Name, CallID: callID, Failed: failed, StepMicros: step.Microseconds()})
 }
 
+// engineResource returns the configured engine of a target, or one of the same name and URL if it was removed.
 func (e *execution) engineResource(target engine.Target) resource.Engine {
 	if found, known := e.gateway.options.Config.Current().Set.Engine(target.Pool, target.Name); known {
 		return found
@@ -110,8 +111,8 @@
 	return &coordinator.RetryRequest{Begin: e.begin, Attempt: response.Attempt, Undelivered: undelivered, Avoid: e.avoid, ModelRefusals: e.refusals}
 }
 
-// retryWithoutModel asks for another attempt after an engine refused the call, for it had not loaded the
-// model. Where engines load models, it may get the call again once it has done so.
+// retryWithoutModel returns the request for another attempt after an engine refused the call because it had not loaded the model.
+// If the pool loads models, the engine is not avoided: it may get the call once it has loaded the model.
 func (e *execution) retryWithoutModel(response coordinator.BeginResponse) *coordinator.RetryRequest {
 	pool, known := e.gateway.options.Config.Current().Set.Pool(response.Engine.Pool)
 	if !known || pool.Loading == nil {
@@ -135,11 +136,11 @@
 	}
 	result, err := e.gateway.options.Coordinator.Finish(context.WithoutCancel(ctx), request)
 	if err != nil {
-		// The call must not stay open: whoever repeats it would wait for an end that nobody brings.
+		// The call must not stay open, or repeats of it would wait for an end that never comes.
 		release := e.hold()
 		go func() {
 			defer release()
-			e.gateway.keepFinishing(request)
+			e.gateway.retryFinish(request)
 		}()
 	}
 	switch {
@@ -148,19 +149,19 @@
 	case result.Error != nil:
 		return nil, nil, result.Error
 	case result.State != program.Completed:
-		return nil, nil, apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "this attempt was given up while it ran; another one may be under way")
+		return nil, nil, apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "this attempt was marked as lost while it ran; another one may be in progress")
 	}
 	return &answer, nil, nil
 }
 
-// unknownOutcome makes sure that a failure after sending is never taken for "not run".
+// unknownOutcome sets the outcome of a failure after sending to OutcomeUnknown, so that it is never reported as NotRun.
 func unknownOutcome(err error) error {
 	failure := *apierr.From(err, apierr.OutcomeUnknown)
 	failure.Outcome = apierr.OutcomeUnknown
 	return &failure
 }
 
-// settleFailure records that the call ends without an answer.
+// settleFailure commits that the call ends without an answer, and returns the error for the caller.
 func (e *execution) settleFailure(ctx context.Context, response coordinator.BeginResponse, failure *apierr.Error, usage *program.Usage) error {
 	_, err := e.gateway.options.Coordinator.Fail(context.WithoutCancel(ctx), coordinator.FailRequest{
 		Partition: e.begin.Partition,
@@ -172,26 +173,26 @@
 	return failure
 }
 
-// abandon settles a call whose caller is gone, or whose time is over, while an engine had it.
+// abandon commits the failure of a call whose caller has disconnected, or whose time is over, after it was dispatched.
 func (e *execution) abandon(callID string, attempt int) error {
-	failure := apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the call was given up before its answer was whole")
+	failure := apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the call was cancelled before its answer was complete")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.CallSeconds*float64(time.Second)))
 	defer cancel()
 	return e.settleFailure(ctx, coordinator.BeginResponse{CallID: callID, Attempt: attempt}, failure, nil)
 }
 
 const (
-	// finishPatience is how long a gateway goes on bringing an answer to a coordinator that it could
-	// not reach; finishPause is between tries.
-	finishPatience = 5 * time.Minute
-	finishPause    = time.Second
+	// finishRetryTimeout is how long a gateway retries the commit of an answer while the coordinator is unavailable, and
+	// finishRetryInterval the time between retries.
+	finishRetryTimeout  = 5 * time.Minute
+	finishRetryInterval = time.Second
 )
 
-// keepFinishing commits an answer once the coordinator can be reached again.
-func (g *Gateway) keepFinishing(request coordinator.FinishRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), finishPatience)
+// retryFinish retries the commit of an answer while the partition is unavailable, up to finishRetryTimeout.
+func (g *Gateway) retryFinish(request coordinator.FinishRequest) {
+	ctx, cancel := context.WithTimeout(context.Background(), finishRetryTimeout)
 	defer cancel()
-	ticker := time.NewTicker(finishPause)
+	ticker := time.NewTicker(finishRetryInterval)
 	defer ticker.Stop()
 	for {
 		_, err := g.options.Coordinator.Finish(ctx, request)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway serves callers: it authenticates them, checks their requests, books each call at
-// its program's coordinator, sends it to the engine that the coordinator names, and streams the
-// answer back. docs/API.md documents the interface.
+// Package gateway implements the HTTP interface for callers. It authenticates and validates requests, admits each call at the
+// coordinator of its program, sends it to the engine that the coordinator has selected, and streams the answer back. docs/API.md
+// documents the interface.
 package gateway
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// Request and response headers of the caller interface.
+// Request and response headers of the caller interface, and limits of request fields.
 const (
 	HeaderProgram       = "Mountstile-Program"
 	HeaderParent        = "Mountstile-Parent-Program"
@@ -48,10 +48,10 @@
 	ephemeralIdleMillis = 60_000
 )
 
-// ReleaseFunc gives a place on an engine back to the engine's owner.
+// ReleaseFunc frees a slot on an engine at the engine's owner.
 type ReleaseFunc func(engine resource.Engine, request owner.ReleaseRequest)
 
-// Options configure a Gateway.
+// Options configures a Gateway.
 type Options struct {
 	NodeID       string
 	Config       *configuration.Manager
@@ -64,11 +64,11 @@
 	Executions   *coordinator.Executions
 	Metrics      *Metrics
 	Logger       *events.Logger
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
 }
 
-// Gateway is the callers' http.Handler.
+// Gateway is the http.Handler for requests of callers.
 type Gateway struct {
 	options  Options
 	mux      *http.ServeMux
@@ -76,7 +76,7 @@
 	active   atomic.Int64
 }
 
-// New returns a Gateway.
+// New returns a Gateway with the routes of the caller interface.
 func New(options Options) *Gateway {
 	gateway := &Gateway{options: options, mux: http.NewServeMux()}
 	gateway.mux.HandleFunc("POST /v1/chat/completions", gateway.handleChat)
@@ -85,15 +85,15 @@
 	gateway.mux.HandleFunc("DELETE "+programsPrefix+"{path...}", gateway.handleEndProgram)
 	gateway.mux.HandleFunc(applicationPrefix+"{service}/{path...}", gateway.handleApplication)
 	gateway.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		gateway.fail(w, apierr.New(apierr.NotFound, apierr.NotRun, "there is nothing at %s %s", r.Method, r.URL.Path))
+		gateway.fail(w, apierr.New(apierr.NotFound, apierr.NotRun, "there is no endpoint %s %s", r.Method, r.URL.Path))
 	})
 	return gateway
 }
 
-// Active returns how many requests are under way.
+// Active returns the number of requests in progress.
 func (g *Gateway) Active() int64 { return g.active.Load() }
 
-// Stop makes the gateway refuse new requests; those under way go on.
+// Stop makes the gateway refuse new requests. Requests in progress continue.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
 // ServeHTTP implements http.Handler.
@@ -102,35 +102,36 @@
 	defer g.active.Add(-1)
 	if g.stopping.Load() {
 		w.Header().Set("Connection", "close")
-		g.fail(w, apierr.New(apierr.Overloaded, apierr.NotRun, "this node is stopping; ask another one").WithRetryAfter(100*time.Millisecond))
+		g.fail(w, apierr.New(apierr.Overloaded, apierr.NotRun, "this node is stopping; retry on another node").WithRetryAfter(100*time.Millisecond))
 		return
 	}
-	answer := &startedWriter{ResponseWriter: w}
+	response := &trackingWriter{ResponseWriter: w}
 	defer func() {
 		if reason := recover(); reason != nil {
-			g.failPanicked(answer, reason)
+			g.handlePanic(response, reason)
 		}
 	}()
-	g.mux.ServeHTTP(answer, r)
+	g.mux.ServeHTTP(response, r)
 }
 
-// failPanicked answers with a failure, or cuts an answer that has begun: the body of a failure would end it as if it were whole.
-func (g *Gateway) failPanicked(answer *startedWriter, reason any) {
+// handlePanic responds with an error, or aborts the connection of a started response: an error body would end it as if it were
+// complete.
+func (g *Gateway) handlePanic(response *trackingWriter, reason any) {
 	g.options.Logger.Emit(events.RequestPanicked, events.F("reason", reason), events.F("stack", string(debug.Stack())))
-	if answer.started {
+	if response.started {
 		panic(http.ErrAbortHandler)
 	}
-	g.fail(answer, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "internal failure"))
+	g.fail(response, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "internal error"))
 }
 
-// caller is who sent a request.
+// caller is the authenticated tenant of a request, and the configuration that authenticated it.
 type caller struct {
 	name   string
 	tenant *resource.Tenant
 	set    *resource.Set
 }
 
-// authenticate finds the tenant of an API key, which reads TENANT.KEYID.SECRET.
+// authenticate returns the tenant of the request's API key, which has the form TENANT.KEYID.SECRET.
 func (g *Gateway) authenticate(r *http.Request) (caller, error) {
 	set := g.options.Config.Current().Set
 	secret, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
@@ -141,7 +142,7 @@
 	return caller{name: name, tenant: tenant, set: set}, nil
 }
 
-// allowed reports whether the caller may use a service. Others' services look as if absent.
+// allowed reports whether the caller may use a service. Services of other tenants must appear not to exist.
 func (c caller) allowed(service *resource.Service) bool {
 	for _, name := range service.Tenants {
 		if name == c.name {
@@ -151,12 +152,12 @@
 	return false
 }
 
-// readBody reads a bounded body.
+// readBody reads a request body of up to MaxBodyBytes. Errors: BodyTooLarge, InvalidRequest.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(unwrapped(w), r.Body, g.options.MaxBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(unwrapWriter(w), r.Body, g.options.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, apierr.New(apierr.BodyTooLarge, apierr.NotRun, "the body is over %d bytes", tooLarge.Limit)
+		return nil, apierr.New(apierr.BodyTooLarge, apierr.NotRun, "the body exceeds %d bytes", tooLarge.Limit)
 	}
 	if err != nil {
 		return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "the body can't be read: %s", err)
@@ -164,7 +165,7 @@
 	return body, nil
 }
 
-// errorBody is the form in which callers get failures; it is OpenAI's with outcome added.
+// errorBody is the JSON body of an error response. It is OpenAI's format with an additional outcome.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -188,14 +189,14 @@
 	return errorBody{Error: detail}
 }
 
-// fail answers with a failure that is final: the caller learns at once, and when to come back.
+// fail writes and logs an error response, with Retry-After headers if the error has a delay.
 func (g *Gateway) fail(w http.ResponseWriter, err error) {
 	failure := apierr.From(err, apierr.OutcomeUnknown)
 	g.options.Metrics.failures.WithLabelValues(string(failure.Code)).Inc()
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderOutcome, string(failure.Outcome))
-	// OpenAI's clients repeat many failures by themselves; only what was not run may be repeated.
+	// OpenAI's clients retry many errors on their own, but only requests that were not run may be retried.
 	header.Set(headerShouldRetry, strconv.FormatBool(failure.Outcome == apierr.NotRun && failure.RetryAfter > 0))
 	if failure.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatInt((failure.RetryAfter+999)/1000, 10))
@@ -232,14 +233,14 @@
 }
 
 func (g *Gateway) handleModels(w http.ResponseWriter, r *http.Request) {
-	who, err := g.authenticate(r)
+	caller, err := g.authenticate(r)
 	if err != nil {
 		g.fail(w, err)
 		return
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
-	for _, item := range who.set.List() {
-		if item.Service == nil || !who.allowed(item.Service) {
+	for _, item := range caller.set.List() {
+		if item.Service == nil || !caller.allowed(item.Service) {
 			continue
 		}
 		for _, model := range item.Service.Models {
@@ -251,11 +252,12 @@
 
 func newCallID() string { return uuid.NewString() }
 
-// executionContext keeps a call going for a caller that can come back with its idempotency key.
-func executionContext(r *http.Request, idempotencyKey string, limit time.Duration) (context.Context, context.CancelFunc) {
+// executionContext returns the context of a call. With an idempotency key, the call outlives its request, since the caller can
+// retrieve the answer with the same key.
+func executionContext(r *http.Request, idempotencyKey string, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx := r.Context()
 	if idempotencyKey != "" {
 		ctx = context.WithoutCancel(ctx)
 	}
-	return context.WithTimeout(ctx, limit)
+	return context.WithTimeout(ctx, timeout)
 }
--- a/internal/gateway/identity.go
+++ b/internal/gateway/identity.go
@@ -13,7 +13,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// identity is what a request's headers say about its place in a program.
+// identity holds the program, position and options of a call from the request's headers.
 type identity struct {
 	key            program.Key
 	root           string
@@ -22,7 +22,7 @@
 	ephemeral      bool
 	ownTokens      int64
 	deltaHistory   bool
-	// repeatable is nil if the caller did not say.
+	// repeatable is nil if the header is missing.
 	repeatable *bool
 }
 
@@ -61,10 +61,10 @@
 	return result, nil
 }
 
-// programPath joins the two headers that may name a program.
+// programPath returns the path of a program from its name and its parent's path. It is empty if both are empty.
 func programPath(name, parent string) (string, error) {
 	if name == "" && parent != "" {
-		return "", apierr.New(apierr.InvalidRequest, apierr.NotRun, "a sub-agent needs a name of its own").WithField(HeaderProgram)
+		return "", apierr.New(apierr.InvalidRequest, apierr.NotRun, "a sub-agent needs its own program name").WithField(HeaderProgram)
 	}
 	if name == "" {
 		return "", nil
@@ -74,13 +74,13 @@
 	}
 	if len(name) > maxIdentifierBytes || strings.Count(name, "/") >= maxProgramDepth || !programPattern.MatchString(name) {
 		return "", apierr.New(apierr.InvalidRequest, apierr.NotRun,
-			"a program's name has at most %d bytes of letters, digits, '.', '_', ':' and '-', and at most %d parts divided by '/'",
+			"a program's name has at most %d bytes of letters, digits, '.', '_', ':' and '-', and at most %d parts separated by '/'",
 			maxIdentifierBytes, maxProgramDepth).WithField(HeaderProgram)
 	}
 	return name, nil
 }
 
-// ephemeralPath names the program of a single call; repeats with the same key meet in it.
+// ephemeralPath returns the program path of a call without a program. Repeats with the same idempotency key get the same path.
 func ephemeralPath(idempotencyKey string) string {
 	if idempotencyKey == "" {
 		return program.EphemeralPrefix + newCallID()
@@ -89,6 +89,7 @@
 	return program.EphemeralPrefix + hex.EncodeToString(sum[:16])
 }
 
+// readNumber returns a header with a positive integer, or 0 if the header is missing.
 func readNumber(r *http.Request, name string) (uint64, error) {
 	text := r.Header.Get(name)
 	if text == "" {
@@ -113,7 +114,7 @@
 	return &value, nil
 }
 
-// limits are those of a program that the call would create.
+// limits returns the limits of the program if the call creates it.
 func (i identity) limits(tenant *resource.Tenant) program.Limits {
 	limits := program.Limits{
 		TokenBudget: tenant.ProgramTokenBudget,
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -13,7 +13,7 @@
 	joinedCalls prometheus.Counter
 }
 
-// NewMetrics registers the gateway's metrics.
+// NewMetrics returns the gateway's metrics and registers them.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	buckets := prometheus.ExponentialBuckets(0.005, 2, 15)
 	metrics := &Metrics{
--- a/internal/gateway/parse_test.go
+++ b/internal/gateway/parse_test.go
@@ -12,7 +12,7 @@
 	"github.com/mountstile/mountstile/internal/program"
 )
 
-// FuzzParseChat: any body gives a checked request or a typed refusal that was not run.
+// FuzzParseChat checks that any body gives a valid request or an InvalidRequest error with outcome NotRun.
 func FuzzParseChat(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":5}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user"}],"n":1e99}`))
@@ -26,12 +26,12 @@
 			return
 		}
 		if request.Model == "" || len(request.Messages) == 0 || request.MaxTokens < 0 {
-			t.Fatalf("unchecked: %+v", request)
+			t.Fatalf("invalid request accepted: %+v", request)
 		}
 		split := splitHistory(request.Messages)
 		whole := program.HistoryMark{}.Extend(request.Messages)
 		if program.HistoryMark.Extend(program.HistoryMark{}.Extend(request.Messages[:split]), request.Messages[split:]) != whole {
-			t.Fatal("the chain depends on where it is cut")
+			t.Fatal("the hash chain depends on where the history is split")
 		}
 	})
 }
@@ -52,10 +52,10 @@
 	assert.NilError(t, err)
 	second, err := read(map[string]string{HeaderIdempotency: "k"})
 	assert.NilError(t, err)
-	assert.Equal(t, first.key, second.key, "repeats without a program meet by their key")
+	assert.Equal(t, first.key, second.key, "repeats without a program share one by their key")
 	for name, headers := range map[string]map[string]string{
 		"parent alone": {HeaderParent: "p"}, "bad name": {HeaderProgram: "a b"}, "ephemeral name": {HeaderProgram: "~x"},
-		"dots out": {HeaderProgram: "a//b"}, "too deep": {HeaderProgram: "1/2/3/4/5/6/7/8/9"},
+		"empty part": {HeaderProgram: "a//b"}, "too deep": {HeaderProgram: "1/2/3/4/5/6/7/8/9"},
 		"bad sequence": {HeaderProgram: "p", HeaderSequence: "0"}, "bad flag": {HeaderRepeatable: "perhaps"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestToolCallsAreMerged from pieces, and bounded.
+// TestToolCallsAreMerged checks that streamed parts of tool calls are merged, and that indices out of range and invalid JSON are
+// ignored.
 func TestToolCallsAreMerged(t *testing.T) {
 	var merger toolCallMerger
 	merger.add(json.RawMessage(`[{"index":0,"id":"c1","function":{"name":"check","arguments":"{\"a\""}}]`))
@@ -75,7 +76,8 @@
 	assert.Equal(t, string(merger.encoded()), `[{"id":"c1","type":"function","function":{"name":"check","arguments":"{\"a\":1}"}}]`)
 }
 
-// TestStoredToolCallsStreamWithTheirIndex: readers of a stream tell tool calls apart by it.
+// TestStoredToolCallsStreamWithTheirIndex checks that a stored answer is streamed with tool call indices, by which clients
+// distinguish the calls.
 func TestStoredToolCallsStreamWithTheirIndex(t *testing.T) {
 	answer := &program.Answer{Message: json.RawMessage(`{"role":"assistant","content":null,"tool_calls":[{"id":"a","type":"function","function":{"name":"x","arguments":""}},{"id":"b","type":"function","function":{"name":"y","arguments":""}}]}`)}
 	delta, err := storedDelta(answer)
@@ -87,13 +89,13 @@
 	assert.Equal(t, calls[1].ID, "b")
 }
 
-// TestPauseIsNoticed whether or not the beat has run since.
-func TestPauseIsNoticed(t *testing.T) {
+// TestPauseIsDetected checks that a pause is detected by PausedSince itself, before Run checks again.
+func TestPauseIsDetected(t *testing.T) {
 	detector := NewPauseDetector()
-	asked := time.Now()
-	detector.beat()
-	assert.Assert(t, !detector.PausedSince(asked))
-	detector.last.Store(int64(time.Since(detector.start) - 2*pauseLimit))
-	assert.Assert(t, detector.PausedSince(asked))
+	requestedAt := time.Now()
+	detector.check()
+	assert.Assert(t, !detector.PausedSince(requestedAt))
+	detector.lastCheck.Store(int64(time.Since(detector.start) - 2*pauseThreshold))
+	assert.Assert(t, detector.PausedSince(requestedAt))
 	assert.Assert(t, !detector.PausedSince(time.Now()))
 }
--- a/internal/gateway/pause.go
+++ b/internal/gateway/pause.go
@@ -7,49 +7,51 @@
 )
 
 const (
-	pauseBeat = 100 * time.Millisecond
-	// pauseLimit is the gap between beats that counts as a pause of the process. It is far below
-	// the time after which others take over from a silent node.
-	pauseLimit = time.Second
+	pauseCheckInterval = 100 * time.Millisecond
+	// pauseThreshold is the time between checks that counts as a pause of the process. It is far below the time after which other
+	// nodes take over from an unresponsive one.
+	pauseThreshold = time.Second
 )
 
-// PauseDetector notices that the process did not run for a while, so that nothing is sent on the
-// strength of a permission from before the pause.
+// PauseDetector detects pauses of the process, so that an attempt is not sent after a pause on the basis of a response from before
+// it. It is safe for concurrent use.
 type PauseDetector struct {
-	last atomic.Int64
-	// resumed is when the latest pause ended; start is the origin of both.
-	resumed atomic.Int64
-	start   time.Time
+	// lastCheck is when the latest check ran, in nanoseconds since start.
+	lastCheck atomic.Int64
+	// resumedAt is when the latest pause ended, in nanoseconds since start.
+	resumedAt atomic.Int64
+	start     time.Time
 }
 
-// NewPauseDetector returns a PauseDetector; Run must be running.
+// NewPauseDetector returns a PauseDetector. It detects pauses only while Run runs.
 func NewPauseDetector() *PauseDetector { return &PauseDetector{start: time.Now()} }
 
-// Run beats until the context ends.
+// Run checks for pauses every pauseCheckInterval until the context ends.
 func (p *PauseDetector) Run(ctx context.Context) {
-	ticker := time.NewTicker(pauseBeat)
+	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
-	p.last.Store(int64(time.Since(p.start)))
+	p.lastCheck.Store(int64(time.Since(p.start)))
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			p.beat()
+			p.check()
 		}
 	}
 }
 
-func (p *PauseDetector) beat() {
+// check records a pause if the time since the previous check exceeds pauseThreshold.
+func (p *PauseDetector) check() {
 	now := time.Since(p.start)
-	previous := time.Duration(p.last.Swap(int64(now)))
-	if now-previous > pauseLimit {
-		p.resumed.Store(int64(now))
+	previous := time.Duration(p.lastCheck.Swap(int64(now)))
+	if now-previous > pauseThreshold {
+		p.resumedAt.Store(int64(now))
 	}
 }
 
-// PausedSince reports whether the process was paused after the given moment.
-func (p *PauseDetector) PausedSince(moment time.Time) bool {
-	p.beat()
-	return time.Duration(p.resumed.Load()) > moment.Sub(p.start)
+// PausedSince reports whether the process was paused after a point in time.
+func (p *PauseDetector) PausedSince(since time.Time) bool {
+	p.check()
+	return time.Duration(p.resumedAt.Load()) > since.Sub(p.start)
 }
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -9,9 +9,9 @@
 	"github.com/mountstile/mountstile/internal/program"
 )
 
-// locateProgram finds the caller's own program that a path names.
+// locateProgram returns the partition and key of the caller's program at the request's path. The program need not exist.
 func (g *Gateway) locateProgram(r *http.Request) (uint32, program.Key, error) {
-	who, err := g.authenticate(r)
+	caller, err := g.authenticate(r)
 	if err != nil {
 		return 0, program.Key{}, err
 	}
@@ -20,11 +20,11 @@
 		return 0, program.Key{}, apierr.New(apierr.NotFound, apierr.NotRun, "there is no program %q", path)
 	}
 	root, _, _ := strings.Cut(path, "/")
-	id, err := g.options.Coordinator.Locate(who.tenant.HomeRegion, who.name, root)
-	return id, program.Key{Tenant: who.name, Path: path}, err
+	id, err := g.options.Coordinator.Locate(caller.tenant.HomeRegion, caller.name, root)
+	return id, program.Key{Tenant: caller.name, Path: path}, err
 }
 
-// handleProgram shows a program, with its messages if the query has history=true.
+// handleProgram returns a program, with its messages if the query has history=true.
 func (g *Gateway) handleProgram(w http.ResponseWriter, r *http.Request) {
 	id, key, err := g.locateProgram(r)
 	if err != nil {
@@ -40,7 +40,7 @@
 	writeJSON(w, response)
 }
 
-// handleEndProgram ends a program and its sub-agents, and has their caches released.
+// handleEndProgram ends a program and its sub-agents, whose engine caches are then released.
 func (g *Gateway) handleEndProgram(w http.ResponseWriter, r *http.Request) {
 	id, key, err := g.locateProgram(r)
 	if err == nil {
--- a/internal/gateway/tool_calls.go
+++ b/internal/gateway/tool_calls.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// toolCallMerger assembles streamed tool calls.
+// toolCallMerger assembles tool calls from the deltas of a stream.
 type toolCallMerger struct {
 	calls []toolCall
 }
@@ -19,20 +19,21 @@
 	Arguments string `json:"arguments"`
 }
 
-func (m *toolCallMerger) begun() bool { return len(m.calls) > 0 }
+func (m *toolCallMerger) hasStarted() bool { return len(m.calls) > 0 }
 
-// maxToolCalls bounds what an engine can make a node hold.
+// maxToolCalls bounds the memory that an engine's answer can use.
 const maxToolCalls = 128
 
+// add merges the tool calls of a delta. Invalid JSON and indices out of range are ignored.
 func (m *toolCallMerger) add(raw json.RawMessage) {
-	var pieces []toolCall
-	if len(raw) == 0 || json.Unmarshal(raw, &pieces) != nil {
+	var deltas []toolCall
+	if len(raw) == 0 || json.Unmarshal(raw, &deltas) != nil {
 		return
 	}
-	for _, piece := range pieces {
+	for _, delta := range deltas {
 		index := len(m.calls)
-		if piece.Index != nil {
-			index = *piece.Index
+		if delta.Index != nil {
+			index = *delta.Index
 		}
 		if index < 0 || index >= maxToolCalls {
 			continue
@@ -41,9 +42,9 @@
 			m.calls = append(m.calls, toolCall{Type: "function"})
 		}
 		merged := &m.calls[index]
-		merged.ID += piece.ID
-		merged.Function.Name += piece.Function.Name
-		merged.Function.Arguments += piece.Function.Arguments
+		merged.ID += delta.ID
+		merged.Function.Name += delta.Function.Name
+		merged.Function.Arguments += delta.Function.Arguments
 	}
 }
 
@@ -58,7 +59,7 @@
 	return encoded
 }
 
-// indexedToolCalls numbers the tool calls of a message, as a stream's reader needs them.
+// indexedToolCalls adds the index to the tool calls of a message, which clients require in a stream.
 func indexedToolCalls(raw json.RawMessage) json.RawMessage {
 	var calls []toolCall
 	if len(raw) == 0 || json.Unmarshal(raw, &calls) != nil {
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -2,44 +2,45 @@
 
 import "github.com/mountstile/mountstile/internal/program"
 
-// usageCounter counts the tokens of a call over all its attempts. Each token of the answer counts once: engines that go on
-// with an answer count what there is of it as prompt, and those that break off may have told their usage before.
+// usageCounter counts the tokens of a call over all its attempts. Each token of the answer counts once, although an engine that
+// resumes an answer counts the earlier part as prompt, and an engine that fails may have reported usage before.
 type usageCounter struct {
 	prompt, cached int64
-	// estimate stands for the prompt, in tokens, until an engine tells its length.
+	// estimate is the estimated length of the prompt in tokens. It is used until an engine reports the length.
 	estimate int64
-	// earlier are the tokens of the answer before this attempt.
-	earlier int64
-	// told is what this attempt's engine has told last; pieces came since, and each is a token at least.
-	told, pieces int64
+	// previous is the number of the answer's tokens before this attempt.
+	previous int64
+	// reported is the completion length last reported by this attempt's engine, and deltas the number received since. Each delta
+	// has at least one token.
+	reported, deltas int64
 }
 
-// begin starts an attempt; estimate is the length of its prompt without the answer so far.
-func (u *usageCounter) begin(estimate int64) {
+// startAttempt starts an attempt. The estimate is the length of its prompt in tokens, without the answer so far.
+func (u *usageCounter) startAttempt(estimate int64) {
 	u.estimate = estimate
 	u.follow(u.completion())
 }
 
-// follow takes over an answer of so many tokens.
+// follow sets the length of the answer so far to that of a followed answer.
 func (u *usageCounter) follow(tokens int64) {
-	u.earlier = tokens
-	u.told, u.pieces = 0, 0
+	u.previous = tokens
+	u.reported, u.deltas = 0, 0
 }
 
-// piece counts a piece of the answer.
-func (u *usageCounter) piece() { u.pieces++ }
+// addDelta counts a delta of the answer.
+func (u *usageCounter) addDelta() { u.deltas++ }
 
-// tell takes what an engine says of its attempt up to here.
-func (u *usageCounter) tell(usage program.Usage) {
-	u.prompt = max(0, usage.Prompt-u.earlier)
+// report records the usage that an engine has reported for the current attempt.
+func (u *usageCounter) report(usage program.Usage) {
+	u.prompt = max(0, usage.Prompt-u.previous)
 	u.cached = min(usage.Cached, u.prompt)
-	u.told, u.pieces = max(0, usage.Completion), 0
+	u.reported, u.deltas = max(0, usage.Completion), 0
 }
 
-// completion is how many tokens the answer has.
-func (u *usageCounter) completion() int64 { return u.earlier + u.told + u.pieces }
+// completion returns the number of tokens of the answer so far.
+func (u *usageCounter) completion() int64 { return u.previous + u.reported + u.deltas }
 
-// usage is what the answer costs.
+// usage returns the usage of the call so far.
 func (u *usageCounter) usage() program.Usage {
 	prompt := u.prompt
 	if prompt == 0 {
