--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the part of a node that works without callers: transport, membership,
-// configuration, placement, replicas and engine ownership.
+// Package control assembles and runs the control plane of a node: transport, membership, configuration, partition placement,
+// replicas and engine ownership.
 package control
 
 import (
@@ -25,35 +25,37 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// Options configure a Plane.
+// Options configures a Plane.
 type Options struct {
 	Cluster string
 	Self    membership.Member
-	Seeds   []string
-	// Listener accepts connections of other nodes.
+	// Seeds are the addresses of nodes to join the cluster through.
+	Seeds []string
+	// Listener accepts the connections of other nodes.
 	Listener  net.Listener
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
-	// Routes replace addresses before they are dialled.
+	// Routes maps addresses of nodes to the addresses that are dialled instead.
 	Routes map[string]string
 
 	Store      configstore.Store
 	Storage    replica.Storage
 	DataFolder string
-	Check      func(*resource.Set) error
+	// Check rejects configurations that can't be installed, such as a policy that does not compile.
+	Check func(*resource.Set) error
 
 	InitialNodes int
 	Partitions   int
 	RepairDelay  time.Duration
 	Membership   membership.Options
-	// NewMachine makes the state machine of a partition.
+	// NewMachine creates the state machine of a partition.
 	NewMachine func(partition uint32) replica.StateMachine
-	// EveryNodeReads is the baseline in which each node watches the store.
+	// EveryNodeReads makes each node watch the store. It is the baseline of the capacity measurement.
 	EveryNodeReads bool
 	Logger         *events.Logger
 }
 
-// Plane is the running control part of a node.
+// Plane is the control plane of a node.
 type Plane struct {
 	Transport  *transport.Transport
 	Membership *membership.Manager
@@ -63,13 +65,13 @@
 	Owner      *owner.Owner
 
 	options Options
-	// identityHeld is set once no other live node claims this node's replica identity.
-	identityHeld atomic.Bool
-	stop         context.CancelFunc
-	done         chan struct{}
+	// identityConfirmed is set once awaitIdentity has found that no other live node has this node's replica ID.
+	identityConfirmed atomic.Bool
+	stop              context.CancelFunc
+	done              chan struct{}
 }
 
-// New assembles a Plane. Register further messages on its Transport before Start.
+// New assembles a Plane. Further message handlers must be registered on its Transport before Start.
 func New(options Options) (*Plane, error) {
 	plane := &Plane{options: options, done: make(chan struct{})}
 	plane.Transport = transport.New(transport.Options{
@@ -114,11 +116,11 @@
 		RepairDelay:  options.RepairDelay,
 	})
 	plane.Owner = owner.New(plane.Transport, plane.Membership, plane.Config, options.Logger)
-	plane.Membership.Subscribe(plane.peerGone)
+	plane.Membership.Subscribe(plane.handleMembershipChange)
 	return plane, nil
 }
 
-// dial follows the node's routes.
+// dial connects to a node, at the address from Routes if there is one.
 func (o Options) dial(ctx context.Context, address string) (net.Conn, error) {
 	if route, replaced := o.Routes[address]; replaced {
 		address = route
@@ -131,14 +133,14 @@
 	return member.Address, known && member.Usable()
 }
 
-// peerGone starts elections where a dead or departed member led.
-func (p *Plane) peerGone(change membership.Change) {
+// handleMembershipChange starts elections in the groups that a failed or departed member led.
+func (p *Plane) handleMembershipChange(change membership.Change) {
 	if change.Member != nil && !change.Member.Usable() {
 		p.Host.PeerGone(change.Member.ReplicaID)
 	}
 }
 
-// Start runs the Plane until Stop.
+// Start starts the Plane, which runs until Stop. It returns at once.
 func (p *Plane) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
@@ -173,29 +175,31 @@
 	}()
 }
 
-// Ready reports whether the node has its configuration and its region's placement.
+// Ready reports whether the node has confirmed its replica identity, and has its configuration and its region's placement.
 func (p *Plane) Ready() bool {
-	return p.identityHeld.Load() && p.Config.Ready() && p.Partitions.Ready()
+	return p.identityConfirmed.Load() && p.Config.Ready() && p.Partitions.Ready()
 }
 
-// Stop ends the Plane at once, and waits for it.
+// Stop stops the Plane without draining, waits until it has ended, and closes the storage.
 func (p *Plane) Stop() error {
 	p.stop()
 	<-p.done
 	return errors.Wrap(p.options.Storage.Close(), "closing storage")
 }
 
-// ownersTried is how many nodes are asked for a place on an engine when the first can't be reached.
-const ownersTried = 3
+// maxOwners is the maximum number of nodes at which a slot is requested, including the owner, if nodes can't be reached.
+const maxOwners = 3
 
-// EngineOwners ranks the nodes that may own an engine; the first does.
+// EngineOwners returns up to maxOwners nodes by their rank for an engine. The first is the owner, the others replace it if it can't
+// be reached.
 func (p *Plane) EngineOwners(engine resource.Engine) []membership.Member {
 	owners := p.Membership.View().Owners("engine/"+engine.Name, engine.Zone, engine.Region)
-	return owners[:min(ownersTried, len(owners))]
+	return owners[:min(maxOwners, len(owners))]
 }
 
-// Reserve implements scheduler.Reserver. Until the death of an owner is known, or while one that has just started has no
-// configuration yet, the next in rank stands in: it does not know the engine's exact load, which may overload it for a moment.
+// Reserve implements scheduler.Reserver. If the owner has failed and this isn't known to membership yet, or has just started and has
+// no configuration yet, the next node in rank reserves the slot. That node doesn't know the engine's exact load, so the engine may be
+// overloaded for a moment.
 func (p *Plane) Reserve(ctx context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
 	request.Ticket = rand.Uint64()
 	var failure error = apierr.New(apierr.PeerUnreachable, apierr.NotRun, "engine %s has no owner", engine.Name)
@@ -207,7 +211,7 @@
 			response, failure = owner.ReserveRemote(ctx, p.Transport, member.Address, request)
 		}
 		if ctx.Err() != nil && !response.Granted {
-			// The owner may have granted the place meanwhile, or grant it later.
+			// The owner may have granted the slot already, or may still grant it.
 			p.release(member, owner.ReleaseRequest{Engine: engine.Name, CallID: request.CallID, Ticket: request.Ticket})
 			return response, failure
 		}
@@ -218,7 +222,7 @@
 	return owner.ReserveResponse{}, failure
 }
 
-// Release gives a place back to whoever may have granted it; others ignore it.
+// Release frees a slot at all nodes that may have granted it. Nodes that have not granted it ignore the message.
 func (p *Plane) Release(engine resource.Engine, request owner.ReleaseRequest) {
 	for _, member := range p.EngineOwners(engine) {
 		p.release(member, request)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,16 +19,16 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// member is a node that takes part in membership.
+// member is a node that runs only transport and membership.
 type member struct {
 	network *transport.Transport
 	members *membership.Manager
 	address string
 }
 
-// startMember starts a node; register adds its handlers before it serves.
+// startMember starts a node, which ends with the test. It calls register before the node serves, to add its message handlers.
 func startMember(t *testing.T, id string, register func(*member), seeds ...string) *member {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,9 +50,9 @@
 	return started
 }
 
-// A node that starts is a member before it has a configuration, and knows no engine. The next in rank stands in, as for an owner
-// that can't be reached; otherwise a call whose engine was lost ends for it.
-func TestTheNextOwnerStandsInForOneThatDoesNotKnowTheEngineYet(t *testing.T) {
+// TestReserveSkipsOwnerWithoutConfiguration checks that the next node in rank reserves a slot if the owner is a member that has no
+// configuration yet and so doesn't know the engine. Otherwise the call would fail.
+func TestReserveSkipsOwnerWithoutConfiguration(t *testing.T) {
 	second := startMember(t, "second", func(node *member) {
 		transport.Handle(node.network, "reserve", func(context.Context, transport.Peer, owner.ReserveRequest) (owner.ReserveResponse, error) {
 			return owner.ReserveResponse{Granted: true}, nil
@@ -71,7 +71,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("waiting for both members")
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(testTimeout))
 	var engine resource.Engine
 	for number := 0; engine.Name == "" || plane.EngineOwners(engine)[0].ID != "first"; number++ {
 		engine.Name = fmt.Sprintf("m%d", number)
--- a/internal/control/identity.go
+++ b/internal/control/identity.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	// identityInterval is how often a claimed identity is looked at again.
+	// identityInterval is how often awaitIdentity checks the members.
 	identityInterval = 200 * time.Millisecond
-	// identityReminder is how often a conflict is reported again.
-	identityReminder = time.Minute
+	// conflictLogInterval is how often a persistent conflict is logged.
+	conflictLogInterval = time.Minute
 )
 
-// awaitIdentity keeps the replicas of a copied data folder from running: two replicas with one identity
-// could vote twice in a term. It returns once this node knows the members and no other live one, at
-// another address, has claimed the identity; false means that the context has ended. A folder that
-// was moved with its disk is free when its former node is known to be dead.
+// awaitIdentity waits until this node has synced the members and no other live member at another address has its replica ID. It
+// returns false if the context has ended first. It guards against a copied data folder: two replicas with one ID could vote twice
+// in a term. The ID of a folder that was moved with its disk is free once the former node is known to have failed.
 func (p *Plane) awaitIdentity(ctx context.Context) bool {
 	ticker := time.NewTicker(identityInterval)
 	defer ticker.Stop()
-	var reported time.Time
+	var loggedAt time.Time
 	for {
-		rival, claimed := p.rival()
-		if !claimed && p.knowsMembers() {
-			p.identityHeld.Store(true)
+		conflictingMember, conflict := p.conflictingMember()
+		if !conflict && p.membersKnown() {
+			p.identityConfirmed.Store(true)
 			return true
 		}
-		if claimed && time.Since(reported) > identityReminder {
-			reported = time.Now()
-			p.options.Logger.Emit(events.IdentityInUse, events.F("replica", rival.ReplicaID), events.F("member", rival.ID), events.F("address", rival.Address))
+		if conflict && time.Since(loggedAt) > conflictLogInterval {
+			loggedAt = time.Now()
+			p.options.Logger.Emit(events.IdentityInUse, events.F("replica", conflictingMember.ReplicaID), events.F("member", conflictingMember.ID), events.F("address", conflictingMember.Address))
 		}
 		select {
 		case <-ctx.Done():
@@ -42,16 +41,17 @@
 	}
 }
 
-// knowsMembers reports whether a rival would be known. A node without a data folder has an identity
-// that nobody else can have; one without seeds is the first.
-func (p *Plane) knowsMembers() bool {
+// membersKnown reports whether a member with the same replica ID would be known. A node without a data folder has a unique replica
+// ID, and a node without other seeds is the first of its cluster.
+func (p *Plane) membersKnown() bool {
 	self := p.options.Self
 	isSelf := func(seed string) bool { return seed == self.Address }
-	alone := len(slices.DeleteFunc(slices.Clone(p.options.Seeds), isSelf)) == 0
-	return self.ReplicaID == self.ID || alone || p.Membership.Synced()
+	first := len(slices.DeleteFunc(slices.Clone(p.options.Seeds), isSelf)) == 0
+	return self.ReplicaID == self.ID || first || p.Membership.Synced()
 }
 
-func (p *Plane) rival() (membership.Member, bool) {
+// conflictingMember returns another usable member with this node's replica ID at another address.
+func (p *Plane) conflictingMember() (membership.Member, bool) {
 	self := p.options.Self
 	for _, member := range p.Membership.View().Usable() {
 		if member.ReplicaID == self.ReplicaID && member.ID != self.ID && member.Address != self.Address {
