--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -460,7 +460,7 @@
 }
 
 // checkRetry enforces the service's MaxAttempts and retry budget. An attempt that was refused because the engine had not loaded
-// the model counts against neither: the engine has not failed, and the retry doesn't use it.
+// the model counts against neither: the engine has not failed, and the retry doesn't use it while it lacks the model.
 func (s *Server) checkRetry(request RetryRequest, call *program.Call) error {
 	if call.State != program.Admitted || request.EngineWithoutModel != "" {
 		return nil
--- a/internal/gateway/chat_execution.go
+++ b/internal/gateway/chat_execution.go
@@ -24,7 +24,7 @@
 	execution
 	request chatRequest
 	writer  answerWriter
-	// publisher publishes the answer to repeats of the call while this request executes it. It is nil otherwise.
+	// publisher publishes the answer to repeats of the call. It is nil without an idempotency key and before the first attempt.
 	publisher *answerPublisher
 
 	// content and toolCalls are the answer so far, of all attempts.
