--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -6,32 +6,34 @@
 	"time"
 )
 
-// Options are the protocol's times. Detection takes at most
-// ProbeInterval + ProbeTimeout + IndirectTimeout + SuspicionTimeout, plus the spread.
+// Options holds the parameters of the protocol. A failure is detected within ProbeInterval + ProbeTimeout +
+// IndirectTimeout + SuspicionTimeout, plus the time of gossip.
 type Options struct {
-	// ProbeInterval is how often each watched member is probed.
+	// ProbeInterval is the interval at which each target is probed.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take.
+	// ProbeTimeout is the timeout of a direct probe.
 	ProbeTimeout time.Duration
-	// IndirectTimeout is how long the probe through other members may take.
+	// IndirectTimeout is the timeout of indirect probes through other members.
 	IndirectTimeout time.Duration
-	// IndirectProbes is how many members are asked to probe for us.
+	// IndirectProbes is the number of members through which a target is probed indirectly.
 	IndirectProbes int
-	// SuspicionTimeout is how long one accuser's suspect may refute.
+	// SuspicionTimeout is the time that a member suspected by one other member has to refute.
 	SuspicionTimeout time.Duration
-	// ConfirmedSuspicionTimeout is how long a suspect may refute that two members accuse.
+	// ConfirmedSuspicionTimeout is the time that a member suspected by two others has to refute.
 	ConfirmedSuspicionTimeout time.Duration
-	// SyncInterval is how often the whole table is compared with a peer's.
+	// SyncInterval is the mean interval between comparisons of the whole table with a peer.
 	SyncInterval time.Duration
-	// DeadRetention is how long the dead are remembered, so that they can come back.
+	// DeadRetention is the time for which dead members are kept, so that they can be contacted after a
+	// network partition.
 	DeadRetention time.Duration
-	// ProbeAll makes each node probe all others: the baseline of the capacity measurement.
+	// ProbeAll makes each node probe all others instead of its successors on the rings.
 	ProbeAll bool
-	// PauseThreshold is the gap between ticks that counts as a pause of this process.
+	// PauseThreshold is the gap between ticks beyond which this process is taken to have been paused.
 	PauseThreshold time.Duration
 }
 
-// DefaultOptions detect a dead node within 7 seconds.
+// DefaultOptions returns options with which a failure is detected within 7 seconds, plus the time of
+// gossip.
 func DefaultOptions() Options {
 	return Options{
 		ProbeInterval:             time.Second,
@@ -46,10 +48,10 @@
 	}
 }
 
-// PacketType is the kind of a membership message.
+// PacketType is the type of a Packet.
 type PacketType string
 
-// The packet types.
+// Packet types.
 const (
 	Ping        PacketType = "ping"
 	Ack         PacketType = "ack"
@@ -60,52 +62,58 @@
 	SyncEntries PacketType = "entries"
 )
 
-// Packet is one membership message.
+// Packet is a message of the membership protocol.
 type Packet struct {
 	Type     PacketType `json:"t"`
 	From     string     `json:"f"`
 	To       string     `json:"o,omitempty"`
 	Sequence uint64     `json:"q,omitempty"`
-	// Target is the member that a PingRequest is about.
+	// Target is the member to probe in a PingRequest, or the member that responded in a RelayedAck.
 	Target  string   `json:"x,omitempty"`
 	Members []Member `json:"m,omitempty"`
 	Records []Record `json:"r,omitempty"`
-	// Hashes are the fingerprints of the sender's buckets; only in Sync.
+	// Hashes are the sender's bucket hashes, in Sync only.
 	Hashes []uint64 `json:"h,omitempty"`
-	// Buckets are those that SyncEntries answers for; empty in the last step of an exchange.
+	// Buckets lists the buckets whose entries a SyncEntries contains; it is empty in the last packet of an
+	// exchange.
 	Buckets []int `json:"b,omitempty"`
 }
 
-// Outgoing is a packet and where to send it.
+// Outgoing is a packet to send and its destination address.
 type Outgoing struct {
 	Address string
 	Packet  Packet
 }
 
 type entry struct {
-	member    Member
+	member Member
+	// positions holds the member's position on each ring.
 	positions []uint64
 	changedAt time.Time
-	// accusers are the distinct members that suspect it, at its present incarnation.
-	accusers map[string]bool
+	// suspecters holds up to two members that suspect this one at its current incarnation.
+	suspecters map[string]bool
+	// deadline is when a suspected member is declared dead.
 	deadline time.Time
 }
 
 func (e *entry) position(ring int) uint64 { return e.positions[ring] }
 
+// probe is an unacknowledged probe of a target.
 type probe struct {
 	sequence uint64
 	sentAt   time.Time
 	indirect bool
 }
 
+// relay is a probe on behalf of another member.
 type relay struct {
 	requester string
 	sequence  uint64
 	expires   time.Time
 }
 
-// Core is the membership protocol without clock and network. It is not safe for concurrent use.
+// Core is the state machine of the membership protocol, without a clock or network. It is not safe for
+// concurrent use.
 type Core struct {
 	self    Member
 	options Options
@@ -115,75 +123,79 @@
 	records map[string]Record
 	hashes  [bucketCount]uint64
 
-	targets    []string
-	neighbours map[string]time.Time
-	// introduced are the members that have answered a probe, and so know this node.
-	introduced map[string]bool
-	// superseded are the members whose first own word was taken as the end of earlier runs at their
-	// address; once each, so that two that claim one address don't bury each other for ever.
-	superseded map[string]bool
-	probes     map[string]*probe
-	relays     map[uint64]relay
-	outbox     map[string]map[string]bool
-	seeds      []string
-
-	sequence  uint64
-	lastTick  time.Time
-	lastHeard time.Time
-	nextProbe time.Time
-	nextSync  time.Time
-	synced    bool
-	stale     bool
+	// targets are the members that this node probes.
+	targets []string
+	// probers holds the members that probe this node and when each last did.
+	probers map[string]time.Time
+	// announcedTo holds the members that have acknowledged a probe, and so have received the entry of
+	// this node.
+	announcedTo map[string]bool
+	// supersedeDone holds the members whose first packet has ended earlier runs at their address. Each does
+	// so only once; otherwise two members with the same address would declare each other dead forever.
+	supersedeDone map[string]bool
+	probes        map[string]*probe
+	relays        map[uint64]relay
+	// outbox holds the keys of the members and records to send to each peer.
+	outbox map[string]map[string]bool
+	seeds  []string
+
+	sequence     uint64
+	lastTick     time.Time
+	lastReceived time.Time
+	nextProbe    time.Time
+	nextSync     time.Time
+	synced       bool
+	targetsStale bool
 
 	packets []Outgoing
 	changes []Change
 }
 
-// NewCore returns a Core that knows only itself.
+// NewCore returns a Core whose table contains only self.
 func NewCore(self Member, options Options, seeds []string, random *rand.Rand) *Core {
 	self.Status = Alive
 	if self.Incarnation == 0 {
 		self.Incarnation = 1
 	}
 	core := &Core{
-		self:       self,
-		options:    options,
-		random:     random,
-		members:    make(map[string]*entry),
-		records:    make(map[string]Record),
-		neighbours: make(map[string]time.Time),
-		introduced: make(map[string]bool),
-		superseded: make(map[string]bool),
-		probes:     make(map[string]*probe),
-		relays:     make(map[uint64]relay),
-		outbox:     make(map[string]map[string]bool),
-		seeds:      slices.Clone(seeds),
+		self:          self,
+		options:       options,
+		random:        random,
+		members:       make(map[string]*entry),
+		records:       make(map[string]Record),
+		probers:       make(map[string]time.Time),
+		announcedTo:   make(map[string]bool),
+		supersedeDone: make(map[string]bool),
+		probes:        make(map[string]*probe),
+		relays:        make(map[uint64]relay),
+		outbox:        make(map[string]map[string]bool),
+		seeds:         slices.Clone(seeds),
 	}
 	core.store(time.Time{}, self)
 	return core
 }
 
-// Self returns this node's own record.
+// Self returns this node's member entry.
 func (c *Core) Self() Member { return c.self }
 
-// Synced reports whether a table was exchanged with another member.
+// Synced reports whether this node has exchanged tables with another member.
 func (c *Core) Synced() bool { return c.synced }
 
-// TakePackets returns and clears what is to be sent.
+// TakePackets returns and clears the packets to send.
 func (c *Core) TakePackets() []Outgoing {
 	packets := c.packets
 	c.packets = nil
 	return packets
 }
 
-// TakeChanges returns and clears what subscribers should hear.
+// TakeChanges returns and clears the changes to report to subscribers.
 func (c *Core) TakeChanges() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-// Members returns all known members.
+// Members returns all known members, including dead ones.
 func (c *Core) Members() []Member {
 	result := make([]Member, 0, len(c.members))
 	for _, known := range c.members {
@@ -198,26 +210,26 @@
 	return found, ok
 }
 
-// SetRecord publishes a record to all members.
+// SetRecord publishes a record to all members, unless this or a higher version is known.
 func (c *Core) SetRecord(record Record) {
 	c.mergeRecord(record, "")
 }
 
-// Leave announces a planned stop.
+// Leave sets the status of this node to Leaving or Left and announces it.
 func (c *Core) Leave(now time.Time, status Status) {
 	c.self.Incarnation++
 	c.self.Status = status
 	c.store(now, c.self)
-	c.spread(c.self.ID, "")
+	c.queueGossip(c.self.ID, "")
 	c.flushOutbox()
 }
 
-// Tick advances the clock: probes, suspicions, rumours and exchanges that are due.
+// Tick advances the clock and performs what is due: probes, suspicion timeouts, gossip and table exchanges.
 func (c *Core) Tick(now time.Time) {
-	c.noticePause(now)
+	c.detectPause(now)
 	c.refreshTargets(now)
 	c.checkProbes(now)
-	c.checkSuspects(now)
+	c.expireSuspicions(now)
 	if !now.Before(c.nextProbe) {
 		c.nextProbe = now.Add(c.options.ProbeInterval)
 		c.sendProbes(now)
@@ -227,10 +239,10 @@
 		c.sendSyncs(now)
 	}
 	c.flushOutbox()
-	c.forgetOld(now)
+	c.removeExpired(now)
 }
 
-// syncDelay spreads exchanges; a node that has not joined yet tries more often.
+// syncDelay returns a random delay until the next exchange, or ProbeInterval before the first one.
 func (c *Core) syncDelay() time.Duration {
 	if !c.synced {
 		return c.options.ProbeInterval
@@ -239,8 +251,8 @@
 	return half + time.Duration(c.random.Int64N(int64(c.options.SyncInterval)))
 }
 
-// noticePause keeps a process that did not run from accusing others of its own silence.
-func (c *Core) noticePause(now time.Time) {
+// detectPause prevents a process that was paused from suspecting others because of packets that it missed.
+func (c *Core) detectPause(now time.Time) {
 	gap := now.Sub(c.lastTick)
 	paused := !c.lastTick.IsZero() && gap > c.options.PauseThreshold
 	c.lastTick = now
@@ -258,20 +270,20 @@
 	c.changes = append(c.changes, Change{Paused: gap})
 }
 
-// refreshTargets recomputes whom to probe and with whom to gossip.
+// refreshTargets recomputes the members to probe and to gossip with.
 func (c *Core) refreshTargets(now time.Time) {
-	for id, lastSeen := range c.neighbours {
+	for id, lastSeen := range c.probers {
 		if now.Sub(lastSeen) > 5*c.options.ProbeInterval || !c.usable(id) {
-			delete(c.neighbours, id)
+			delete(c.probers, id)
 			delete(c.outbox, id)
 		}
 	}
-	if !c.stale {
+	if !c.targetsStale {
 		return
 	}
-	c.stale = false
+	c.targetsStale = false
 	if c.options.ProbeAll {
-		c.targets = everyone(c.self, c.members)
+		c.targets = allOthers(c.self, c.members)
 	} else {
 		c.targets = successors(c.self, c.members)
 	}
@@ -295,7 +307,7 @@
 		c.sequence++
 		c.probes[id] = &probe{sequence: c.sequence, sentAt: now}
 		ping := Packet{Type: Ping, Sequence: c.sequence}
-		if !c.introduced[id] {
+		if !c.announcedTo[id] {
 			ping.Members = []Member{c.self}
 		}
 		c.send(id, ping)
@@ -312,15 +324,16 @@
 		switch {
 		case !pending.indirect && waited >= c.options.ProbeTimeout:
 			pending.indirect = true
-			c.askOthers(id, pending.sequence)
+			c.sendIndirectProbes(id, pending.sequence)
 		case waited >= c.options.ProbeTimeout+c.options.IndirectTimeout:
 			delete(c.probes, id)
-			c.accuse(now, id)
+			c.suspect(now, id)
 		}
 	}
 }
 
-func (c *Core) askOthers(target string, sequence uint64) {
+// sendIndirectProbes makes other members probe a target.
+func (c *Core) sendIndirectProbes(target string, sequence uint64) {
 	helpers := slices.DeleteFunc(c.peers(), func(id string) bool { return id == target })
 	c.random.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
 	for _, helper := range helpers[:min(c.options.IndirectProbes, len(helpers))] {
@@ -328,19 +341,20 @@
 	}
 }
 
-// accuse marks a member suspect in this node's own name.
-func (c *Core) accuse(now time.Time, id string) {
+// suspect marks a member as suspected by this node.
+func (c *Core) suspect(now time.Time, id string) {
 	known := c.members[id]
 	if known == nil || !known.member.Usable() {
 		return
 	}
-	accusation := known.member
-	accusation.Status = Suspect
-	accusation.SuspectedBy = c.self.ID
-	c.mergeMember(now, accusation, "")
+	suspected := known.member
+	suspected.Status = Suspect
+	suspected.SuspectedBy = c.self.ID
+	c.mergeMember(now, suspected, "")
 }
 
-func (c *Core) checkSuspects(now time.Time) {
+// expireSuspicions declares the members dead that have not refuted a suspicion in time.
+func (c *Core) expireSuspicions(now time.Time) {
 	for id, known := range c.members {
 		if id == c.self.ID || known.member.Status != Suspect || now.Before(known.deadline) {
 			continue
@@ -351,10 +365,11 @@
 	}
 }
 
-// suspicionDeadline gives one accuser's word less weight, and an isolated node's own least.
+// suspicionDeadline returns when a suspected member is declared dead: later if only one member suspects it,
+// and much later if this node may be isolated.
 func (c *Core) suspicionDeadline(now time.Time, known *entry) time.Time {
 	timeout := c.options.SuspicionTimeout
-	if len(known.accusers) >= 2 {
+	if len(known.suspecters) >= 2 {
 		timeout = c.options.ConfirmedSuspicionTimeout
 	}
 	if c.isolated(now) {
@@ -363,15 +378,15 @@
 	return known.changedAt.Add(timeout)
 }
 
-// isolated reports that nobody was heard for long: then the fault is more likely our own.
+// isolated reports whether no packet was received recently, so that this node may be at fault.
 func (c *Core) isolated(now time.Time) bool {
-	return now.Sub(c.lastHeard) > 2*c.options.ProbeInterval
+	return now.Sub(c.lastReceived) > 2*c.options.ProbeInterval
 }
 
-// peers returns the members with which this node exchanges packets regularly.
+// peers returns the members that this node probes or is probed by, in sorted order.
 func (c *Core) peers() []string {
 	result := slices.Clone(c.targets)
-	for id := range c.neighbours {
+	for id := range c.probers {
 		if !slices.Contains(result, id) {
 			result = append(result, id)
 		}
@@ -394,13 +409,14 @@
 	c.packets = append(c.packets, Outgoing{Address: address, Packet: packet})
 }
 
-func (c *Core) forgetOld(now time.Time) {
+// removeExpired removes members that have been dead or left for DeadRetention.
+func (c *Core) removeExpired(now time.Time) {
 	for id, known := range c.members {
 		if !known.member.Usable() && now.Sub(known.changedAt) > c.options.DeadRetention && id != c.self.ID {
 			c.hashes[bucketOf(id)] ^= hashMember(known.member)
 			delete(c.members, id)
-			delete(c.introduced, id)
-			delete(c.superseded, id)
+			delete(c.announcedTo, id)
+			delete(c.supersedeDone, id)
 		}
 	}
 }
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -13,18 +13,19 @@
 
 const simulatedTick = 200 * time.Millisecond
 
-// network runs cores in virtual time; links may drop or delay packets.
+// network simulates cores in virtual time, with lost and delayed packets.
 type network struct {
-	t        *testing.T
-	now      time.Time
-	random   *rand.Rand
-	cores    map[string]*Core
-	order    []string
-	silent   map[string]bool
+	t      *testing.T
+	now    time.Time
+	random *rand.Rand
+	cores  map[string]*Core
+	order  []string
+	// stopped holds the addresses of nodes that neither run nor receive.
+	stopped  map[string]bool
 	inFlight []delivery
 	// lost decides whether a packet from one address to another is lost.
 	lost func(from, to string) bool
-	// deaths counts, for each member, how many cores have ever held it for dead.
+	// deaths holds, for each member, when each node last declared it dead.
 	deaths map[string]map[string]time.Time
 }
 
@@ -37,17 +38,17 @@
 
 func newNetwork(t *testing.T, seed uint64) *network {
 	return &network{
-		t:      t,
-		now:    time.Unix(1000, 0),
-		random: rand.New(rand.NewPCG(seed, 1)),
-		cores:  make(map[string]*Core),
-		silent: make(map[string]bool),
-		lost:   func(string, string) bool { return false },
-		deaths: make(map[string]map[string]time.Time),
+		t:       t,
+		now:     time.Unix(1000, 0),
+		random:  rand.New(rand.NewPCG(seed, 1)),
+		cores:   make(map[string]*Core),
+		stopped: make(map[string]bool),
+		lost:    func(string, string) bool { return false },
+		deaths:  make(map[string]map[string]time.Time),
 	}
 }
 
-// add starts a node at an address; node zero of each address is the first run there.
+// add starts a run of the node at an address. The first run has number zero.
 func (n *network) add(address, zone, region string, run int) *Core {
 	id := fmt.Sprintf("%s-run%d", address, run)
 	member := Member{ID: id, Name: address, ReplicaID: id, Address: address, Zone: zone, Region: region, StartedAt: int64(run + 1)}
@@ -56,11 +57,11 @@
 		n.order = append(n.order, address)
 	}
 	n.cores[address] = core
-	delete(n.silent, address)
+	delete(n.stopped, address)
 	return core
 }
 
-// addMany starts nodes over two regions of three zones and lets them join.
+// addMany starts nodes in two regions with three zones each and waits until they have joined.
 func (n *network) addMany(count int) {
 	for number := range count {
 		region := fmt.Sprintf("r%d", number%2)
@@ -86,7 +87,7 @@
 	for end := n.now.Add(duration); n.now.Before(end); n.now = n.now.Add(simulatedTick) {
 		n.deliver()
 		for _, address := range n.order {
-			if !n.silent[address] {
+			if !n.stopped[address] {
 				n.cores[address].Tick(n.now)
 				n.collect(address)
 			}
@@ -104,7 +105,7 @@
 	for len(n.inFlight) > 0 && !n.inFlight[0].due.After(n.now) {
 		next := n.inFlight[0]
 		n.inFlight = n.inFlight[1:]
-		if core := n.cores[next.address]; core != nil && !n.silent[next.address] {
+		if core := n.cores[next.address]; core != nil && !n.stopped[next.address] {
 			core.Receive(n.now, next.packet)
 			n.collect(next.address)
 		}
@@ -135,26 +136,26 @@
 	return self.Zone, self.Region
 }
 
-// TestDeadNodeIsKnownWithinTheBound kills nodes one by one; all must know within 8 seconds.
-func TestDeadNodeIsKnownWithinTheBound(t *testing.T) {
+// All nodes must detect the failure of a node within 8 seconds.
+func TestFailureDetectionTime(t *testing.T) {
 	net := newNetwork(t, 1)
 	net.addMany(60)
 	for number := 5; number < 10; number++ {
 		address := fmt.Sprintf("node%d", number)
-		net.silent[address] = true
+		net.stopped[address] = true
 		started := net.now
 		net.run(12 * time.Second)
 		seen := net.deaths[net.cores[address].Self().ID]
 		assert.Equal(t, len(seen), 60-(number-4))
 		for observer, at := range seen {
-			assert.Assert(t, at.Sub(started) <= 8*time.Second, "%s knew after %s", observer, at.Sub(started))
+			assert.Assert(t, at.Sub(started) <= 8*time.Second, "%s detected the failure after %s", observer, at.Sub(started))
 		}
 	}
 	assert.Equal(t, len(net.deaths), 5)
 }
 
-// TestQuietHourHasNoFalseDeath also with one packet of twenty lost.
-func TestQuietHourHasNoFalseDeath(t *testing.T) {
+// No node is declared dead while all run, even if packets are lost.
+func TestNoFalseDeaths(t *testing.T) {
 	for _, loss := range []float64{0, 0.05} {
 		t.Run(fmt.Sprintf("loss %.2f", loss), func(t *testing.T) {
 			net := newNetwork(t, 2)
@@ -166,8 +167,8 @@
 	}
 }
 
-// TestOneWayPartitionKillsNobody: a node that some others can't hear is vouched for by the rest.
-func TestOneWayPartitionKillsNobody(t *testing.T) {
+// A node whose packets some others do not receive is kept alive by indirect probes through the rest.
+func TestOneWayPartitionCausesNoDeath(t *testing.T) {
 	net := newNetwork(t, 3)
 	net.addMany(30)
 	net.lost = func(from, to string) bool {
@@ -177,8 +178,8 @@
 	assert.Equal(t, len(net.deaths), 0, "%v", net.deaths)
 }
 
-// TestZoneCutOffAndBack cuts a zone off for an hour.
-func TestZoneCutOffAndBack(t *testing.T) {
+// A zone that was partitioned from the others for an hour rejoins.
+func TestZonePartitionHeals(t *testing.T) {
 	net := newNetwork(t, 4)
 	net.addMany(36)
 	inZone := func(address string) bool { zone, _ := net.zoneOf(address); return zone == "r0-z1" }
@@ -198,8 +199,8 @@
 	}
 }
 
-// TestRegionsApartForAnHour splits the cluster in two halves that both go on.
-func TestRegionsApartForAnHour(t *testing.T) {
+// Two regions that were partitioned for an hour keep running and merge again.
+func TestRegionPartitionHeals(t *testing.T) {
 	net := newNetwork(t, 5)
 	net.addMany(36)
 	inFirst := func(address string) bool { _, region := net.zoneOf(address); return region == "r0" }
@@ -215,14 +216,14 @@
 	}
 }
 
-// TestPausedNodeAccusesNobody: a process that did not run must not take others' answers for lost.
-func TestPausedNodeAccusesNobody(t *testing.T) {
+// A process that was paused must not suspect others because of acknowledgements that it missed.
+func TestPausedNodeSuspectsNobody(t *testing.T) {
 	net := newNetwork(t, 6)
 	net.addMany(30)
-	net.silent["node7"] = true
+	net.stopped["node7"] = true
 	net.run(time.Minute)
 	net.inFlight = nil
-	delete(net.silent, "node7")
+	delete(net.stopped, "node7")
 	net.run(time.Minute)
 	assert.Equal(t, len(net.deaths), 1)
 	for _, address := range net.order {
@@ -230,8 +231,8 @@
 	}
 }
 
-// TestRestartOnTheSameAddress tells the runs of a node apart.
-func TestRestartOnTheSameAddress(t *testing.T) {
+// After a restart at the same address, the old run is dead and the new one is usable.
+func TestRestartAtSameAddress(t *testing.T) {
 	net := newNetwork(t, 7)
 	net.addMany(30)
 	old := net.cores["node9"].Self().ID
@@ -249,9 +250,9 @@
 	}
 }
 
-// TestQuickRestartIsKnownAtOnce: the first word of a new run ends the run before it, long before
-// probes would; a late packet of the old run does not bring it back.
-func TestQuickRestartIsKnownAtOnce(t *testing.T) {
+// The first packet of a new run ends the previous run, before probes detect its failure. A delayed packet of
+// the old run does not revive it.
+func TestNewRunSupersedesPreviousRun(t *testing.T) {
 	net := newNetwork(t, 10)
 	net.addMany(30)
 	old := net.cores["node9"].Self()
@@ -272,13 +273,13 @@
 	}
 }
 
-// TestLeavingIsAnnounced: a planned stop is known without any detection, and is final.
+// A planned stop is announced, so that the node is never declared dead.
 func TestLeavingIsAnnounced(t *testing.T) {
 	net := newNetwork(t, 8)
 	net.addMany(30)
 	net.cores["node3"].Leave(net.now, Left)
 	net.collect("node3")
-	net.silent["node3"] = true
+	net.stopped["node3"] = true
 	net.run(3 * time.Second)
 	for _, address := range net.order {
 		if address != "node3" {
@@ -288,8 +289,8 @@
 	assert.Equal(t, len(net.deaths), 0)
 }
 
-// TestRecordsReachAllAndNeverFall spreads versions in both orders.
-func TestRecordsReachAllAndNeverFall(t *testing.T) {
+// The highest version of a record reaches all nodes, whichever order they receive the versions in.
+func TestHighestRecordVersionReachesAllNodes(t *testing.T) {
 	net := newNetwork(t, 9)
 	net.addMany(60)
 	net.cores["node1"].SetRecord(Record{Key: "config", Version: 8})
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// FuzzReceive: whatever a peer sends, a node goes on, keeps itself alive in its own table, and knows
-// no record at a lower version than before.
+// For any packet, Receive must not panic, end the node's own membership or decrease the version of a record.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte(`{"t":"ping","f":"b","q":3,"m":[{"id":"b","a":"b:1","i":1,"s":"alive","st":5}]}`))
 	f.Add([]byte(`{"t":"sync","f":"b","h":[1],"m":[{"id":"a","i":9,"s":"dead"},{"id":"","s":"x"}]}`))
@@ -30,10 +29,10 @@
 		}
 		newView(core.Self(), core.Members())
 		if core.Self().Status != Alive {
-			t.Fatalf("a peer's word ended this node: %+v", core.Self())
+			t.Fatalf("a packet changed the status of this node: %+v", core.Self())
 		}
 		if record, known := core.Record("config"); !known || record.Version < 7 {
-			t.Fatalf("%+v", record)
+			t.Fatalf("the record was lost or its version decreased: %+v", record)
 		}
 	})
 }
--- a/internal/membership/spread.go
+++ b/internal/membership/gossip.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// spread queues a member or record for every regular peer but the one that told us.
-func (c *Core) spread(key, source string) {
+// queueGossip queues a member or record for all peers except the one that it came from.
+func (c *Core) queueGossip(key, source string) {
 	for _, id := range c.peers() {
 		if id == source {
 			continue
@@ -18,7 +18,7 @@
 	}
 }
 
-// flushOutbox sends what is queued, one packet a peer.
+// flushOutbox sends the queued members and records, in one packet per peer.
 func (c *Core) flushOutbox() {
 	for id, keys := range c.outbox {
 		packet := Packet{Type: Gossip}
@@ -42,22 +42,22 @@
 	}
 }
 
-// sendSyncs compares tables with one regular peer, and tries to reach one that is out of sight: a
-// seed or a dead member. The latter heals a split of the network.
+// sendSyncs starts an exchange of tables with a random peer, and with a random seed or dead member that is not
+// known as alive. The latter merges the parts of the cluster after a network partition.
 func (c *Core) sendSyncs(time.Time) {
 	packet := Packet{Type: Sync, Hashes: slices.Clone(c.hashes[:]), Members: []Member{c.self}}
 	if peers := c.peers(); len(peers) > 0 {
 		c.send(peers[c.random.IntN(len(peers))], packet)
 	}
-	if lost := c.outOfSight(); len(lost) > 0 {
-		c.sendTo(lost[c.random.IntN(len(lost))], packet)
+	if unreachable := c.unreachableAddresses(); len(unreachable) > 0 {
+		c.sendTo(unreachable[c.random.IntN(len(unreachable))], packet)
 	}
 }
 
-// outOfSight lists addresses where somebody may live whom this node does not know as alive.
-func (c *Core) outOfSight() []string {
+// unreachableAddresses returns the addresses of seeds and dead members at which no usable member is known.
+func (c *Core) unreachableAddresses() []string {
 	alive := make(map[string]bool, len(c.members))
-	var dead []string
+	var unreachable []string
 	for _, known := range c.members {
 		if known.member.Usable() {
 			alive[known.member.Address] = true
@@ -65,19 +65,20 @@
 	}
 	for _, known := range c.members {
 		if known.member.Status == Dead && !alive[known.member.Address] {
-			dead = append(dead, known.member.Address)
+			unreachable = append(unreachable, known.member.Address)
 		}
 	}
 	for _, seed := range c.seeds {
-		if !alive[seed] && !slices.Contains(dead, seed) {
-			dead = append(dead, seed)
+		if !alive[seed] && !slices.Contains(unreachable, seed) {
+			unreachable = append(unreachable, seed)
 		}
 	}
-	slices.Sort(dead)
-	return dead
+	slices.Sort(unreachable)
+	return unreachable
 }
 
-func (c *Core) answerSync(packet Packet, source string) {
+// handleSync sends the entries of the buckets that differ from the sender's.
+func (c *Core) handleSync(packet Packet, source string) {
 	if len(packet.Hashes) != bucketCount {
 		return
 	}
@@ -91,6 +92,7 @@
 	c.sendTo(source, reply)
 }
 
+// attachBuckets adds all members and records of the buckets of a packet to it.
 func (c *Core) attachBuckets(packet *Packet) {
 	for id, known := range c.members {
 		if slices.Contains(packet.Buckets, bucketOf(id)) {
@@ -104,29 +106,29 @@
 	}
 }
 
-// finishSync returns what the peer lacks; its entries are merged already.
-func (c *Core) finishSync(packet Packet, source string) {
+// handleSyncEntries sends the entries that the peer lacks. The entries of the peer are already merged.
+func (c *Core) handleSyncEntries(packet Packet, source string) {
 	if len(packet.Buckets) == 0 {
 		return
 	}
-	theirs := make(map[string]Member, len(packet.Members))
+	peerMembers := make(map[string]Member, len(packet.Members))
 	for _, member := range packet.Members {
-		theirs[member.ID] = member
+		peerMembers[member.ID] = member
 	}
-	versions := make(map[string]uint64, len(packet.Records))
+	peerVersions := make(map[string]uint64, len(packet.Records))
 	for _, record := range packet.Records {
-		versions[record.Key] = record.Version
+		peerVersions[record.Key] = record.Version
 	}
-	ours := Packet{Buckets: packet.Buckets}
-	c.attachBuckets(&ours)
+	local := Packet{Buckets: packet.Buckets}
+	c.attachBuckets(&local)
 	reply := Packet{Type: SyncEntries, To: packet.From}
-	for _, member := range ours.Members {
-		if their, known := theirs[member.ID]; !known || member.overrides(their) {
+	for _, member := range local.Members {
+		if peerMember, known := peerMembers[member.ID]; !known || member.overrides(peerMember) {
 			reply.Members = append(reply.Members, member)
 		}
 	}
-	for _, record := range ours.Records {
-		if version, known := versions[record.Key]; !known || record.Version > version {
+	for _, record := range local.Records {
+		if version, known := peerVersions[record.Key]; !known || record.Version > version {
 			reply.Records = append(reply.Records, record)
 		}
 	}
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -13,7 +13,7 @@
 
 const (
 	messageKind = "member"
-	// tickInterval is the clock of the protocol; rumours wait at most so long.
+	// tickInterval is the tick of the protocol, and the maximum delay of gossip.
 	tickInterval = 200 * time.Millisecond
 )
 
@@ -26,12 +26,13 @@
 	core        *Core
 	subscribers []func(Change)
 
-	view    atomic.Pointer[View]
-	deliver sync.Mutex
-	pending []Change
+	view atomic.Pointer[View]
+	// delivery is held while changes are delivered, to keep their order.
+	delivery sync.Mutex
+	pending  []Change
 }
 
-// NewManager returns a Manager for self, which joins through the seeds' addresses.
+// NewManager returns a Manager for self, which joins through the seed addresses.
 func NewManager(self Member, seeds []string, options Options, network *transport.Transport, logger *events.Logger) *Manager {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	manager := &Manager{
@@ -46,15 +47,15 @@
 	return manager
 }
 
-// Subscribe registers a function that hears every change, in order. It must not block long.
-// Call it before Run.
+// Subscribe registers a function that is called with every change, in order. It must not block for long.
+// Subscribe must be called before Run.
 func (m *Manager) Subscribe(subscriber func(Change)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.subscribers = append(m.subscribers, subscriber)
 }
 
-// Run drives the protocol until the context ends.
+// Run drives the protocol until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -68,10 +69,10 @@
 	}
 }
 
-// View returns the present picture.
+// View returns the current view.
 func (m *Manager) View() *View { return m.view.Load() }
 
-// Synced reports whether this node has exchanged tables with another.
+// Synced reports whether this node has exchanged tables with another member.
 func (m *Manager) Synced() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -85,23 +86,23 @@
 	return m.core.Record(key)
 }
 
-// SetRecord publishes a record to all members.
+// SetRecord publishes a record to all members, unless this or a higher version is known.
 func (m *Manager) SetRecord(record Record) {
 	m.step(func() { m.core.SetRecord(record) })
 }
 
-// Announce tells all that this node is Leaving, or has Left.
+// Announce announces to all members that this node is Leaving or has Left.
 func (m *Manager) Announce(status Status) {
 	m.step(func() { m.core.Leave(time.Now(), status) })
 }
 
-// step changes the core under the lock, then sends and tells outside of it.
+// step changes the core under the lock, then sends packets and notifies subscribers without it.
 func (m *Manager) step(change func()) {
 	m.mutex.Lock()
 	change()
 	packets := m.core.TakePackets()
 	changes := m.core.TakeChanges()
-	if hasMember(changes) || m.view.Load().Self != m.core.Self() {
+	if hasMemberChange(changes) || m.view.Load().Self != m.core.Self() {
 		m.view.Store(newView(m.core.Self(), m.core.Members()))
 	}
 	m.pending = append(m.pending, changes...)
@@ -115,12 +116,13 @@
 	}
 }
 
-// notify delivers pending changes in order; a subscriber may itself cause changes.
+// notify delivers pending changes in order. If a delivery is already in progress, that one delivers them:
+// a subscriber may itself cause changes.
 func (m *Manager) notify(subscribers []func(Change)) {
-	if !m.deliver.TryLock() {
+	if !m.delivery.TryLock() {
 		return
 	}
-	defer m.deliver.Unlock()
+	defer m.delivery.Unlock()
 	for {
 		m.mutex.Lock()
 		changes := m.pending
@@ -130,7 +132,7 @@
 			return
 		}
 		for _, change := range changes {
-			m.log(change)
+			m.logChange(change)
 			for _, subscriber := range subscribers {
 				subscriber(change)
 			}
@@ -138,7 +140,7 @@
 	}
 }
 
-func hasMember(changes []Change) bool {
+func hasMemberChange(changes []Change) bool {
 	for _, change := range changes {
 		if change.Member != nil {
 			return true
@@ -147,7 +149,7 @@
 	return false
 }
 
-var eventOfStatus = map[Status]events.ID{
+var statusEvents = map[Status]events.ID{
 	Alive:   events.MemberAlive,
 	Leaving: events.MemberLeft,
 	Suspect: events.MemberSuspect,
@@ -155,14 +157,14 @@
 	Left:    events.MemberLeft,
 }
 
-func (m *Manager) log(change Change) {
+func (m *Manager) logChange(change Change) {
 	if change.Paused > 0 {
 		m.logger.Emit(events.SelfPaused, events.F("seconds", change.Paused.Seconds()))
 	}
 	if change.Member == nil {
 		return
 	}
-	id := eventOfStatus[change.Member.Status]
+	id := statusEvents[change.Member.Status]
 	if change.Member.ID == m.View().Self.ID {
 		id = events.SelfRefuted
 	}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,6 +1,6 @@
-// Package membership tells which nodes are alive, leaving or dead, and spreads small versioned
-// records to all of them. Core is a pure state machine; Manager gives it a clock and a network.
-// docs/design/membership.md explains the protocol and its bounds.
+// Package membership implements a gossip protocol that detects failed nodes and distributes small versioned
+// records to all nodes. Core is a deterministic state machine; Manager connects it to a clock and the
+// transport. docs/design/membership.md describes the protocol and its bounds.
 package membership
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Status is what the cluster holds of a member.
+// Status is the status of a member.
 type Status string
 
-// The statuses, in the order in which they override each other at the same incarnation.
+// Statuses. At the same incarnation, a later one in this list overrides an earlier one.
 const (
 	Alive   Status = "alive"
 	Leaving Status = "leaving"
@@ -24,38 +24,38 @@
 
 var precedence = map[Status]int{Alive: 0, Leaving: 1, Suspect: 2, Dead: 3, Left: 4}
 
-// Member describes one run of one node.
+// Member describes one run of a node.
 type Member struct {
-	// ID is unique to this run of the process.
+	// ID is unique to this run of the node.
 	ID string `json:"id"`
-	// Name is the node's configured name and stays over restarts.
+	// Name is the configured name of the node, which is the same in all runs.
 	Name string `json:"n,omitempty"`
-	// ReplicaID names the storage of the node's replicas: it stays over restarts of a node with a
-	// data folder, and equals ID on others.
+	// ReplicaID identifies the replica storage of the node. It survives restarts of a node with a data
+	// folder, and equals ID on other nodes.
 	ReplicaID string `json:"rid,omitempty"`
-	// Address is where other nodes reach this one; API is where callers do.
+	// Address is the address for other nodes; API and Admin are the addresses for clients and operators.
 	Address string `json:"a,omitempty"`
 	API     string `json:"api,omitempty"`
 	Admin   string `json:"adm,omitempty"`
 	Zone    string `json:"z,omitempty"`
 	Region  string `json:"rg,omitempty"`
-	// StartedAt is the clock of the member's machine when this run began, in milliseconds since 1970;
-	// it orders the runs at one address.
+	// StartedAt is the start time of this run by the clock of its machine, in Unix milliseconds. It
+	// orders the runs at one address.
 	StartedAt int64 `json:"st,omitempty"`
-	// Incarnation is raised by the member alone, to refute a suspicion or to announce a change.
+	// Incarnation is increased only by the member itself, to refute a suspicion or to announce a change.
 	Incarnation uint64 `json:"i"`
 	Status      Status `json:"s"`
-	// SuspectedBy is who suspects the member; two of them count for more than one.
+	// SuspectedBy is the ID of a member that suspects this one. Two different ones confirm a suspicion.
 	SuspectedBy string `json:"by,omitempty"`
 }
 
-// Usable reports whether the member takes part: it is not dead and has not left.
+// Usable reports whether the member is neither dead nor has left.
 func (m Member) Usable() bool { return m.Status != Dead && m.Status != Left }
 
-// Eligible reports whether the member may be given new roles.
+// Eligible reports whether the member may be assigned new work.
 func (m Member) Eligible() bool { return m.Status == Alive || m.Status == Suspect }
 
-// overrides reports whether m is newer knowledge than other, of the same ID.
+// overrides reports whether m is newer than other, which has the same ID. Left is final.
 func (m Member) overrides(other Member) bool {
 	if other.Status == Left {
 		return false
@@ -69,23 +69,25 @@
 	return precedence[m.Status] > precedence[other.Status]
 }
 
-// Record is a small value that every node is told; the highest version of a key wins.
+// Record is a small value that is distributed to all nodes. The highest version of a key wins.
 type Record struct {
 	Key     string          `json:"k"`
 	Version uint64          `json:"v"`
 	Value   json.RawMessage `json:"d,omitempty"`
 }
 
-// Change tells a subscriber what is new; exactly one of the fields is set.
+// Change is reported to subscribers. Exactly one of Member, Record and Paused is set.
 type Change struct {
 	Member *Member
 	Record *Record
-	// Source is the address of the peer that told us, empty when we found out ourselves.
+	// Source is the address of the peer that sent the change; it is empty for a local change.
 	Source string
-	// Paused is how long this process did not run.
+	// Paused is the duration of a pause of this process.
 	Paused time.Duration
 }
 
+// bucketCount is the number of buckets in which the table is compared with a peer. It is part of the
+// protocol.
 const bucketCount = 16
 
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
@@ -96,7 +98,7 @@
 
 func hashRecord(r Record) uint64 { return mix(xxhash.Sum64String(r.Key), r.Version) }
 
-// mix combines a key's hash with a version, so that XOR over entries is a set's fingerprint.
+// mix combines the hash of a key with a version. The hash of a set of entries is the XOR of their mixes.
 func mix(key, version uint64) uint64 {
 	combined := key ^ (version * 0x9E3779B97F4A7C15)
 	combined ^= combined >> 32
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Receive handles one packet.
+// Receive processes one packet.
 func (c *Core) Receive(now time.Time, packet Packet) {
 	if packet.From == c.self.ID {
 		return
 	}
-	// A packet for an earlier run on this address is not ours to answer: its addressee is gone.
+	// Ignore packets for an earlier run at this address.
 	if packet.To != "" && packet.To != c.self.ID {
 		return
 	}
-	c.lastHeard = now
+	c.lastReceived = now
 	source := c.addressOf(packet.From)
 	for _, member := range packet.Members {
 		c.mergeMember(now, member, packet.From)
@@ -22,19 +22,19 @@
 	if source == "" {
 		source = c.addressOf(packet.From)
 	}
-	c.supersede(now, packet.From)
-	c.noteNeighbour(now, packet)
-	c.answer(now, packet, source)
+	c.supersedeEarlierRuns(now, packet.From)
+	c.recordProber(now, packet)
+	c.handle(now, packet, source)
 }
 
-// supersede buries earlier runs at the address of a member that was heard itself: one process at a
-// time can listen there. An earlier run that lives all the same refutes.
-func (c *Core) supersede(now time.Time, heard string) {
-	current := c.members[heard]
-	if current == nil || c.superseded[heard] {
+// supersedeEarlierRuns declares earlier runs at the address of the sender dead, since only one process can
+// listen there. An earlier run that is alive after all refutes this.
+func (c *Core) supersedeEarlierRuns(now time.Time, sender string) {
+	current := c.members[sender]
+	if current == nil || c.supersedeDone[sender] {
 		return
 	}
-	c.superseded[heard] = true
+	c.supersedeDone[sender] = true
 	for id, known := range c.members {
 		if id == c.self.ID || !known.member.Usable() || known.member.Address != current.member.Address || known.member.StartedAt >= current.member.StartedAt {
 			continue
@@ -52,38 +52,39 @@
 	return ""
 }
 
-func (c *Core) noteNeighbour(now time.Time, packet Packet) {
+func (c *Core) recordProber(now time.Time, packet Packet) {
 	if packet.Type == Ping && c.usable(packet.From) {
-		c.neighbours[packet.From] = now
+		c.probers[packet.From] = now
 	}
 }
 
-func (c *Core) answer(now time.Time, packet Packet, source string) {
+func (c *Core) handle(now time.Time, packet Packet, source string) {
 	switch packet.Type {
 	case Ping:
-		c.answerPing(packet)
+		c.handlePing(packet)
 	case Ack:
-		c.takeAck(packet)
+		c.handleAck(packet)
 	case PingRequest:
-		c.relayPing(now, packet)
+		c.handlePingRequest(now, packet)
 	case RelayedAck:
 		if pending := c.probes[packet.Target]; pending != nil && pending.sequence == packet.Sequence {
 			delete(c.probes, packet.Target)
 		}
 	case Sync:
 		if source != "" {
-			c.answerSync(packet, source)
+			c.handleSync(packet, source)
 		}
 	case SyncEntries:
 		c.synced = true
 		if source != "" {
-			c.finishSync(packet, source)
+			c.handleSyncEntries(packet, source)
 		}
 	}
 }
 
-// answerPing acknowledges; a peer that we hold for suspect or dead is told, so that it can refute.
-func (c *Core) answerPing(packet Packet) {
+// handlePing acknowledges a probe. If the sender is suspect or dead in the table, the acknowledgement contains
+// its entry, so that it can refute it.
+func (c *Core) handlePing(packet Packet) {
 	reply := Packet{Type: Ack, Sequence: packet.Sequence}
 	known := c.members[packet.From]
 	if known == nil {
@@ -95,7 +96,7 @@
 	c.send(packet.From, reply)
 }
 
-func (c *Core) takeAck(packet Packet) {
+func (c *Core) handleAck(packet Packet) {
 	if request, relayed := c.relays[packet.Sequence]; relayed {
 		delete(c.relays, packet.Sequence)
 		c.send(request.requester, Packet{Type: RelayedAck, Target: packet.From, Sequence: request.sequence})
@@ -103,11 +104,12 @@
 	}
 	if pending := c.probes[packet.From]; pending != nil && pending.sequence == packet.Sequence {
 		delete(c.probes, packet.From)
-		c.introduced[packet.From] = true
+		c.announcedTo[packet.From] = true
 	}
 }
 
-func (c *Core) relayPing(now time.Time, packet Packet) {
+// handlePingRequest probes a target on behalf of the sender.
+func (c *Core) handlePingRequest(now time.Time, packet Packet) {
 	for sequence, old := range c.relays {
 		if now.After(old.expires) {
 			delete(c.relays, sequence)
@@ -118,8 +120,8 @@
 	c.send(packet.Target, Packet{Type: Ping, Sequence: c.sequence})
 }
 
-// mergeMember takes in knowledge of a member. Invariant: what a member says of itself with a higher
-// incarnation beats whatever others say of it.
+// mergeMember merges a member entry into the table. Invariant: an entry that a member publishes about itself
+// with a higher incarnation overrides the entries of others.
 func (c *Core) mergeMember(now time.Time, incoming Member, source string) {
 	if incoming.ID == c.self.ID {
 		c.refute(now, incoming)
@@ -127,32 +129,32 @@
 	}
 	known := c.members[incoming.ID]
 	if known != nil && !incoming.overrides(known.member) {
-		c.countAccuser(now, known, incoming, source)
+		c.confirmSuspicion(now, known, incoming, source)
 		return
 	}
 	known = c.store(now, incoming)
 	if incoming.Status == Suspect {
-		known.accusers = map[string]bool{incoming.SuspectedBy: true}
+		known.suspecters = map[string]bool{incoming.SuspectedBy: true}
 		known.deadline = c.suspicionDeadline(now, known)
 	}
 	stored := known.member
 	c.changes = append(c.changes, Change{Member: &stored, Source: c.addressOf(source)})
-	c.spread(incoming.ID, source)
+	c.queueGossip(incoming.ID, source)
 }
 
-// countAccuser notes a further, distinct accusation of the same incarnation, and passes it on once.
-func (c *Core) countAccuser(now time.Time, known *entry, incoming Member, source string) {
+// confirmSuspicion counts a suspicion of the same incarnation by a second member, and gossips it once.
+func (c *Core) confirmSuspicion(now time.Time, known *entry, incoming Member, source string) {
 	sameSuspicion := incoming.Status == Suspect && known.member.Status == Suspect && incoming.Incarnation == known.member.Incarnation
-	if !sameSuspicion || known.accusers[incoming.SuspectedBy] || len(known.accusers) >= 2 {
+	if !sameSuspicion || known.suspecters[incoming.SuspectedBy] || len(known.suspecters) >= 2 {
 		return
 	}
-	known.accusers[incoming.SuspectedBy] = true
+	known.suspecters[incoming.SuspectedBy] = true
 	known.member.SuspectedBy = incoming.SuspectedBy
 	known.deadline = c.suspicionDeadline(now, known)
-	c.spread(incoming.ID, source)
+	c.queueGossip(incoming.ID, source)
 }
 
-// refute answers a rumour about this node itself.
+// refute overrides an entry about this node from another member by increasing the incarnation.
 func (c *Core) refute(now time.Time, incoming Member) {
 	if incoming.Incarnation < c.self.Incarnation || incoming.Status == c.self.Status && incoming.Incarnation == c.self.Incarnation {
 		return
@@ -164,10 +166,10 @@
 	c.store(now, c.self)
 	self := c.self
 	c.changes = append(c.changes, Change{Member: &self})
-	c.spread(c.self.ID, "")
+	c.queueGossip(c.self.ID, "")
 }
 
-// store puts a member into the table and keeps the fingerprints right.
+// store puts a member into the table and updates the bucket hashes.
 func (c *Core) store(now time.Time, member Member) *entry {
 	bucket := bucketOf(member.ID)
 	known := c.members[member.ID]
@@ -182,18 +184,19 @@
 		c.hashes[bucket] ^= hashMember(known.member)
 	}
 	if known.member.Usable() != member.Usable() || known.member.ID == "" {
-		c.stale = true
-		c.syncSoon(now)
+		c.targetsStale = true
+		c.scheduleSyncSoon(now)
 	}
 	known.member = member
 	known.changedAt = now
-	known.accusers = nil
+	known.suspecters = nil
 	c.hashes[bucket] ^= hashMember(member)
 	return known
 }
 
-// syncSoon brings the next exchange forward: while members come and go, rumours miss some nodes.
-func (c *Core) syncSoon(now time.Time) {
+// scheduleSyncSoon moves the next exchange forward, because gossip misses some nodes while members join and
+// leave.
+func (c *Core) scheduleSyncSoon(now time.Time) {
 	soon := now.Add(c.options.ProbeInterval + time.Duration(c.random.Int64N(int64(c.options.ProbeInterval))))
 	if soon.Before(c.nextSync) {
 		c.nextSync = soon
@@ -213,8 +216,8 @@
 	c.records[incoming.Key] = incoming
 	stored := incoming
 	c.changes = append(c.changes, Change{Record: &stored, Source: c.addressOf(source)})
-	c.spread(recordPrefix+incoming.Key, source)
+	c.queueGossip(recordPrefix+incoming.Key, source)
 }
 
-// recordPrefix tells records from members in the outbox; member IDs can't contain it.
+// recordPrefix distinguishes records from members in the outbox. Member IDs cannot contain it.
 const recordPrefix = "\x00"
--- a/internal/membership/rings.go
+++ b/internal/membership/rings.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringScope limits who is on a ring.
+// ringScope selects the members of a ring, relative to a node.
 type ringScope int
 
 const (
@@ -15,12 +15,12 @@
 	globalScope
 )
 
-// ringScopes lists the monitoring rings. Each node probes its successor on every ring, so each node
-// is watched by about as many others as there are rings, and the cost is independent of the size
-// of the cluster. Most rings stay inside the zone or region; the global ones find the death of a
-// zone or region.
+// ringScopes lists the scopes of the monitoring rings. Each node probes its successor on every ring, so a node
+// is probed by about as many others as there are rings, independently of the cluster size. Most rings are
+// within a zone or region; the global ones detect the failure of a whole zone or region.
 var ringScopes = []ringScope{zoneScope, zoneScope, regionScope, globalScope, globalScope}
 
+// ringPosition returns the position of a member on a ring, which is a hash of its ID.
 func ringPosition(id string, ring int) uint64 {
 	return xxhash.Sum64String(id + "/" + strconv.Itoa(ring))
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// successors returns self's distinct successors over all rings.
+// successors returns the distinct successors of self on all rings.
 func successors(self Member, members map[string]*entry) []string {
 	var result []string
 	seen := make(map[string]bool, len(ringScopes))
@@ -50,7 +50,7 @@
 	return result
 }
 
-// successor is the member whose ring position follows self's most closely.
+// successor returns the member that follows self on a ring, or "" if there is none.
 func successor(self Member, members map[string]*entry, ring int, scope ringScope) string {
 	own := ringPosition(self.ID, ring)
 	best := ""
@@ -67,8 +67,8 @@
 	return best
 }
 
-// everyone lists all other usable members.
-func everyone(self Member, members map[string]*entry) []string {
+// allOthers returns all usable members except self.
+func allOthers(self Member, members map[string]*entry) []string {
 	var result []string
 	for id, candidate := range members {
 		if id != self.ID && candidate.member.Usable() {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is an immutable picture of the members at one moment.
+// View is an immutable snapshot of the members.
 type View struct {
 	Self    Member
 	members []Member
 	byID    map[string]Member
-	// byReplica holds the run that each replica storage belongs to: of the usable ones that claim it,
-	// the one that started first. A later one has a copy of the folder, or waits until the first is
-	// known to be gone.
+	// byReplica maps each replica ID to the member that owns it: of the usable members with this ID, the
+	// one that started first. A later one has a copy of the data folder, or waits until the first one is
+	// known to be dead.
 	byReplica map[string]Member
 }
 
@@ -29,22 +29,22 @@
 	for _, member := range members {
 		view.byID[member.ID] = member
 		known, exists := view.byReplica[member.ReplicaID]
-		if !exists || member.holdsBefore(known) {
+		if !exists || member.ownsReplicaOver(known) {
 			view.byReplica[member.ReplicaID] = member
 		}
 	}
 	return view
 }
 
-// holdsBefore reports whether a replica storage that both claim belongs to m rather than to other.
-func (m Member) holdsBefore(other Member) bool {
+// ownsReplicaOver reports whether m, rather than other, owns the replica ID that both have.
+func (m Member) ownsReplicaOver(other Member) bool {
 	if m.Usable() != other.Usable() {
 		return m.Usable()
 	}
 	return m.StartedAt < other.StartedAt
 }
 
-// All returns every known member, also the dead, by ID. The slice must not be changed.
+// All returns all known members, including dead ones, ordered by ID. The slice must not be modified.
 func (v *View) All() []Member { return v.members }
 
 // Get returns a member by ID.
@@ -53,7 +53,7 @@
 	return found, ok
 }
 
-// ByAddress returns the usable member that others reach at an address.
+// ByAddress returns the usable member with the given address.
 func (v *View) ByAddress(address string) (Member, bool) {
 	for _, member := range v.members {
 		if member.Address == address && member.Usable() {
@@ -63,16 +63,16 @@
 	return Member{}, false
 }
 
-// ByReplicaID returns the present run of a replica storage.
+// ByReplicaID returns the member that owns a replica ID.
 func (v *View) ByReplicaID(replicaID string) (Member, bool) {
 	found, ok := v.byReplica[replicaID]
 	return found, ok
 }
 
-// Usable returns the members that are neither dead nor gone.
+// Usable returns the members that are neither dead nor have left.
 func (v *View) Usable() []Member { return v.filter(Member.Usable) }
 
-// Eligible returns the members that may be given new roles.
+// Eligible returns the members that may be assigned new work.
 func (v *View) Eligible() []Member { return v.filter(Member.Eligible) }
 
 func (v *View) filter(keep func(Member) bool) []Member {
@@ -85,8 +85,8 @@
 	return result
 }
 
-// Owner returns the working member that owns key by rendezvous hashing, from the zone and region
-// nearest to the given ones that has any.
+// Owner returns the eligible member that owns key by rendezvous hashing. Only the members of the zone are
+// considered, or of the region if the zone has none, or all if the region has none.
 func (v *View) Owner(key, zone, region string) (Member, bool) {
 	owners := v.Owners(key, zone, region)
 	if len(owners) == 0 {
@@ -95,11 +95,12 @@
 	return owners[0], true
 }
 
-// Owners ranks the members that may own key; each stands in for the ones before it.
+// Owners returns the members that may own key, in order of preference.
 func (v *View) Owners(key, zone, region string) []Member {
 	return Rank(nearest(v.Eligible(), zone, region), key)
 }
 
+// nearest returns the members of the zone, of the region or of all regions: the first that is not empty.
 func nearest(members []Member, zone, region string) []Member {
 	var inZone, inRegion []Member
 	for _, member := range members {
@@ -121,7 +122,8 @@
 	}
 }
 
-// Rank orders members by rendezvous hashing for key: removing one moves only what it owned.
+// Rank orders members by rendezvous hashing for key. Removing a member does not change the order of the
+// others.
 func Rank(members []Member, key string) []Member {
 	type weighted struct {
 		member Member
