--- a/cmd/mountstile/explain.go
+++ b/cmd/mountstile/explain.go
@@ -43,7 +43,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	report := explain.Explain(lines, c.Args.ID)
+	report := explain.NewReport(lines, c.Args.ID)
 	if !report.Found() {
 		return errors.WithStack(&errNotInLogs{id: c.Args.ID})
 	}
--- a/cmd/mountstile/keys.go
+++ b/cmd/mountstile/keys.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, name := range c.Nodes {
-		if err := keys.CreateNode(c.Folder, name, time.Duration(c.Days)*day); err != nil {
+		if err := keys.CreateNodeCertificate(c.Folder, name, time.Duration(c.Days)*day); err != nil {
 			return err
 		}
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -38,9 +38,9 @@
 	defaultHistory    = 20
 	maxHistory        = 500
 	publishTimeout    = 20 * time.Second
-	// HeaderBase names the revision that a change is based on; HeaderChange identifies the change.
-	HeaderBase   = "Mountstile-Base-Revision"
-	HeaderChange = "Mountstile-Change-Id"
+	// HeaderBaseRevision names the revision that a change is based on; HeaderChangeID identifies the change.
+	HeaderBaseRevision = "Mountstile-Base-Revision"
+	HeaderChangeID     = "Mountstile-Change-Id"
 )
 
 // PlatformTenant is the first part of the platform administrators' keys.
@@ -58,10 +58,10 @@
 	Models *modelload.View
 	// Keys are the platform's own, from the settings file.
 	Keys []resource.APIKey
-	// Self describes this node; Drain begins its planned stop.
-	Self   func() NodeStatus
-	Drain  func()
-	Logger *events.Logger
+	// LocalStatus describes this node; Drain begins its planned stop.
+	LocalStatus func() NodeStatus
+	Drain       func()
+	Logger      *events.Logger
 }
 
 // Server is the administration API's http.Handler.
--- a/internal/admin/cluster.go
+++ b/internal/admin/cluster.go
@@ -64,7 +64,7 @@
 
 func (s *Server) registerMessages() {
 	transport.Handle(s.options.Transport, statusKind, func(context.Context, transport.Peer, empty) (NodeStatus, error) {
-		return s.options.Self(), nil
+		return s.options.LocalStatus(), nil
 	})
 	transport.Handle(s.options.Transport, drainKind, func(context.Context, transport.Peer, empty) (empty, error) {
 		s.options.Drain()
@@ -194,8 +194,8 @@
 	return response.Decision, err
 }
 
-// Behind names the live nodes on which a revision is not known to be in force.
-func (c ClusterStatus) Behind(revision uint64) []string {
+// NodesBehind names the live nodes on which a revision is not known to be in force.
+func (c ClusterStatus) NodesBehind(revision uint64) []string {
 	var behind []string
 	for _, member := range c.Members {
 		if member.Member.Usable() && (member.Node == nil || member.Node.Revision < revision) {
--- a/internal/admin/resources.go
+++ b/internal/admin/resources.go
@@ -83,17 +83,17 @@
 
 // newChange reads what all changes have in common.
 func newChange(r *http.Request, who identity) (configuration.Change, error) {
-	change := configuration.Change{ChangeID: r.Header.Get(HeaderChange), Author: who.name}
+	change := configuration.Change{ChangeID: r.Header.Get(HeaderChangeID), Author: who.name}
 	if change.ChangeID == "" {
 		change.ChangeID = newChangeID()
 	}
-	base := r.Header.Get(HeaderBase)
+	base := r.Header.Get(HeaderBaseRevision)
 	if base == "" {
 		return change, nil
 	}
 	revision, err := strconv.ParseUint(base, 10, 64)
 	if err != nil {
-		return change, apierr.New(apierr.InvalidRequest, apierr.NotRun, "%q is not a revision", base).WithField(HeaderBase)
+		return change, apierr.New(apierr.InvalidRequest, apierr.NotRun, "%q is not a revision", base).WithField(HeaderBaseRevision)
 	}
 	change.Base = revision
 	return change, nil
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -80,10 +80,10 @@
 func (c Change) header() http.Header {
 	header := make(http.Header)
 	if c.ID != "" {
-		header.Set(admin.HeaderChange, c.ID)
+		header.Set(admin.HeaderChangeID, c.ID)
 	}
 	if c.Base > 0 {
-		header.Set(admin.HeaderBase, strconv.FormatUint(c.Base, 10))
+		header.Set(admin.HeaderBaseRevision, strconv.FormatUint(c.Base, 10))
 	}
 	return header
 }
@@ -183,7 +183,7 @@
 	lagging := []string{"(no status yet)"}
 	for {
 		if status, err := c.Status(ctx); err == nil {
-			if lagging = status.Behind(revision); len(lagging) == 0 {
+			if lagging = status.NodesBehind(revision); len(lagging) == 0 {
 				return nil
 			}
 		}
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -99,7 +99,7 @@
 				m.logger.Emit(events.CatalogPeerLost, events.F("peer", address), events.F("error", err))
 			}
 			reached = false
-			clock.Pause(ctx, backoff)
+			clock.Sleep(ctx, backoff)
 			backoff = min(2*backoff, maxFollowBackoff)
 			continue
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Pause waits in real time until duration is over or the context ends.
-func Pause(ctx context.Context, duration time.Duration) {
+// Sleep waits in real time until duration is over or the context ends.
+func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -188,7 +188,7 @@
 		if time.Now().After(deadline) {
 			return none, unavailable(id, sent, last)
 		}
-		clock.Pause(ctx, routePause)
+		clock.Sleep(ctx, routePause)
 	}
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -223,7 +223,7 @@
 		return d.waitForEngine(ctx, call, progress)
 	}
 	progress.resumeOn = nil
-	clock.Pause(ctx, progress.resumeDelay())
+	clock.Sleep(ctx, progress.resumeDelay())
 	switch d.registry.use(resumeOn) {
 	case present:
 		return resumeOn, nil
@@ -249,7 +249,7 @@
 		if expired(ctx) || now.After(waitUntil) {
 			return nil, progress.noEngineError(ctx)
 		}
-		clock.Pause(ctx, engineWaitInterval)
+		clock.Sleep(ctx, engineWaitInterval)
 	}
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -4,7 +4,7 @@
 // Usage:
 //
 //	lines, err := explain.Read(file, "gateway-1.log")
-//	report := explain.Explain(lines, "9c41d07be2a35f68")
+//	report := explain.NewReport(lines, "9c41d07be2a35f68")
 //	report.Write(os.Stdout)
 package explain
 
@@ -104,8 +104,8 @@
 	return string(raw)
 }
 
-// About tells whether the line is about a request or program.
-func (l Line) About(id string) bool {
+// Matches tells whether the line is about a request or program.
+func (l Line) Matches(id string) bool {
 	return l.text("request") == id || l.text("program") == id || l.text("previous") == id
 }
 
@@ -117,13 +117,13 @@
 	context []Line
 }
 
-// Explain picks what concerns a request or program.
-func Explain(lines []Line, id string) Report {
+// NewReport picks what concerns a request or program.
+func NewReport(lines []Line, id string) Report {
 	report := Report{id: id}
 	nodes := make(map[string]bool)
 	engines := make(map[string]bool)
 	for _, line := range lines {
-		if !line.About(id) {
+		if !line.Matches(id) {
 			continue
 		}
 		report.lines = append(report.lines, line)
@@ -137,7 +137,7 @@
 	from := report.begin().Add(-contextBefore)
 	till := report.lines[len(report.lines)-1].at.Add(contextAfter)
 	for _, line := range lines {
-		if line.at.Before(from) || line.at.After(till) || line.About(id) {
+		if line.at.Before(from) || line.at.After(till) || line.Matches(id) {
 			continue
 		}
 		believed := slices.Contains(contextEvents, line.event)
@@ -200,7 +200,7 @@
 	sortByTime(all)
 	for _, line := range all {
 		mark := " "
-		if line.About(r.id) {
+		if line.Matches(r.id) {
 			mark = "*"
 		}
 		fmt.Fprintf(output, "%s %s %-22s %-24s %s\n", line.at.Format(reportTimeShape), mark, line.tellers(), line.name, line.details())
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestStoryOfARequest(t *testing.T) {
-	report := Explain(read(t), "r1")
+	report := NewReport(read(t), "r1")
 	var text strings.Builder
 	report.Write(&text)
 	story := strings.Split(strings.TrimSpace(text.String()), "\n")
@@ -40,7 +40,7 @@
 }
 
 func TestStoryOfAProgram(t *testing.T) {
-	report := Explain(read(t), "p")
+	report := NewReport(read(t), "p")
 	assert.Equal(t, len(report.lines), 2)
 	assert.Equal(t, len(report.Causes()), 1)
 }
@@ -57,7 +57,7 @@
 	lines, err := Read(strings.NewReader(clusterLog), "cluster")
 	assert.NilError(t, err)
 	var text strings.Builder
-	Explain(lines, "r1").Write(&text)
+	NewReport(lines, "r1").Write(&text)
 	story := strings.Split(strings.TrimSpace(text.String()), "\n")
 	assert.Equal(t, len(story), 4, text.String())
 	assert.Assert(t, strings.Contains(story[0], "g1 +2") && strings.Contains(story[0], "members=s1,s2"), story[0])
@@ -74,7 +74,7 @@
 	lines, err := Read(strings.NewReader(streamLog), "gateway")
 	assert.NilError(t, err)
 	var text strings.Builder
-	Explain(lines, "r1").Write(&text)
+	NewReport(lines, "r1").Write(&text)
 	story := strings.Split(strings.TrimSpace(text.String()), "\n")
 	assert.Equal(t, len(story), 4, text.String())
 	assert.Assert(t, strings.Contains(story[1], "stream_resumed") && strings.Contains(story[1], "status=500"), story[1])
@@ -82,7 +82,7 @@
 }
 
 func TestUnknownRequest(t *testing.T) {
-	report := Explain(read(t), "none")
+	report := NewReport(read(t), "none")
 	assert.Assert(t, !report.Found())
 	var text strings.Builder
 	report.Write(&text)
@@ -97,6 +97,6 @@
 			return
 		}
 		var story strings.Builder
-		Explain(lines, "r1").Write(&story)
+		NewReport(lines, "r1").Write(&story)
 	})
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -28,8 +28,8 @@
 	nodeKeySuffix    = "-key.pem"
 
 	authorityLife = 10 * 365 * 24 * time.Hour
-	// NodeLife is how long a node's certificate is valid.
-	NodeLife     = 90 * 24 * time.Hour
+	// NodeValidity is how long a node's certificate is valid.
+	NodeValidity = 90 * 24 * time.Hour
 	clockLeeway  = time.Hour
 	serialBits   = 127
 	certificate  = "CERTIFICATE"
@@ -111,8 +111,8 @@
 	return errors.Wrap(os.WriteFile(certificatePath, pem.EncodeToMemory(&pem.Block{Type: certificate, Bytes: encoded}), publicMode), "writing a certificate")
 }
 
-// CreateNode writes a node's certificate and key into folder, signed by the authority there.
-func CreateNode(folder, name string, life time.Duration) error {
+// CreateNodeCertificate writes a node's certificate and key into folder, signed by the authority there.
+func CreateNodeCertificate(folder, name string, life time.Duration) error {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(folder, AuthorityFile), filepath.Join(folder, AuthorityKeyFile))
 	if err != nil {
 		return errors.Wrap(err, "loading the authority")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -190,7 +190,7 @@
 		Transport:   n.plane.Transport,
 		Models:      n.models.View,
 		Keys:        n.settings.AdminKeys,
-		Self:        n.Status,
+		LocalStatus: n.Status,
 		Drain:       n.requestDrain,
 		Logger:      n.logger,
 	})
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -53,7 +53,7 @@
 func (s *Scheduler) patience(input *policy.Input, rules *policy.Policy, deadline time.Time) time.Duration {
 	seconds, err := rules.Patience(input)
 	if err != nil {
-		s.options.Logger.Emit(events.PolicyEvaluationFail, events.F("engine", input.EngineName), events.F("error", err))
+		s.options.Logger.Emit(events.PolicyEvaluationFailed, events.F("engine", input.EngineName), events.F("error", err))
 		return 0
 	}
 	wait := min(seconds, deadline.Sub(s.now()).Seconds())
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -231,7 +231,7 @@
 		candidate.Score, err = rules.Score(input)
 	}
 	if err != nil {
-		s.options.Logger.Emit(events.PolicyEvaluationFail, events.F("engine", candidate.Engine.Name), events.F("error", err))
+		s.options.Logger.Emit(events.PolicyEvaluationFailed, events.F("engine", candidate.Engine.Name), events.F("error", err))
 		return err.Error()
 	}
 	return ""
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -94,7 +94,7 @@
 	other := t.TempDir()
 	assert.NilError(t, keys.CreateAuthority(other, "other"))
 	secured := func(folder, cluster, name string) Options {
-		assert.NilError(t, keys.CreateNode(folder, name, keys.NodeLife))
+		assert.NilError(t, keys.CreateNodeCertificate(folder, name, keys.NodeValidity))
 		source, err := keys.NewSource(keys.Files{
 			Authority: folder + "/" + keys.AuthorityFile, Certificate: folder + "/" + name + ".pem", Key: folder + "/" + name + "-key.pem",
 		}, cluster)
--- a/internal/turnstore/ask.go
+++ b/internal/turnstore/ask.go
@@ -57,7 +57,7 @@
 				pending++
 				sentAt = time.Now()
 				go func() {
-					clock.Pause(ctx, askAgainPause)
+					clock.Sleep(ctx, askAgainPause)
 					send()
 				}()
 			}
