--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -23,51 +23,51 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-const patience = 30 * time.Second
+const pollTimeout = 30 * time.Second
 
-// site is a store and the nodes that use it.
-type site struct {
+// testCluster is a store and the nodes that use it.
+type testCluster struct {
 	t     *testing.T
 	store *storeserver.Server
 	url   string
 	seeds []string
 }
 
-func newSite(t *testing.T) *site {
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
 	t.Parallel()
 	store := storeserver.New()
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
-	return &site{t: t, store: store, url: server.URL}
+	return &testCluster{t: t, store: store, url: server.URL}
 }
 
-// node starts a Manager in a zone, with or without a folder.
-func (s *site) node(name, zone, folder string) *configuration.Manager {
-	s.t.Helper()
+// node starts a Manager in a zone; folder is its data folder, or empty.
+func (c *testCluster) node(name, zone, folder string) *configuration.Manager {
+	c.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	address := listener.Addr().String()
 	network := transport.New(transport.Options{Cluster: "c", NodeID: name, Address: address, Logger: events.Discard()})
 	self := membership.Member{ID: name, ReplicaID: name, Address: address, Zone: zone, Region: "r"}
-	members := membership.NewManager(self, s.seeds, membership.DefaultOptions(), network, events.Discard())
+	members := membership.NewManager(self, c.seeds, membership.DefaultOptions(), network, events.Discard())
 	manager, err := configuration.NewManager(configuration.Options{
-		Store: etcdgateway.New(s.url, time.Second), Membership: members, Transport: network,
+		Store: etcdgateway.New(c.url, time.Second), Membership: members, Transport: network,
 		Logger: events.Discard(), DataFolder: folder, Check: policy.Check,
 	})
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	tasks.Go(func() { _ = network.Serve(listener) })
 	tasks.Go(func() { members.Run(ctx) })
 	tasks.Go(func() { manager.Run(ctx) })
-	s.t.Cleanup(func() {
+	c.t.Cleanup(func() {
 		cancel()
 		network.Close()
 		tasks.Wait()
 	})
-	s.seeds = append(s.seeds, address)
+	c.seeds = append(c.seeds, address)
 	return manager
 }
 
@@ -77,24 +77,24 @@
 	}}
 }
 
-func (s *site) waitRevision(manager *configuration.Manager, revision uint64) {
-	s.t.Helper()
-	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
+func (c *testCluster) waitRevision(manager *configuration.Manager, revision uint64) {
+	c.t.Helper()
+	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
 		if manager.Current().Revision() >= revision {
 			return poll.Success()
 		}
 		return poll.Continue("at revision %d", manager.Current().Revision())
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(pollTimeout))
 }
 
-func TestChangeReachesAllNodesAndOlderNeverReturns(t *testing.T) {
-	here := newSite(t)
-	nodes := []*configuration.Manager{here.node("a", "z1", ""), here.node("b", "z2", ""), here.node("d", "z3", "")}
+func TestChangeReachesAllNodesAndOlderRevisionIsIgnored(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodes := []*configuration.Manager{cluster.node("a", "z1", ""), cluster.node("b", "z2", ""), cluster.node("d", "z3", "")}
 	for number := range 5 {
 		document, err := nodes[number%3].Publish(t.Context(), change(fmt.Sprint(number), 0, float64(number+1)))
 		assert.NilError(t, err)
 		for _, manager := range nodes {
-			here.waitRevision(manager, document.Revision)
+			cluster.waitRevision(manager, document.Revision)
 		}
 	}
 	old := nodes[0].Current().Document
@@ -103,11 +103,12 @@
 	assert.Equal(t, nodes[0].Current().Revision(), uint64(5))
 }
 
-// TestLostAnswerIsResolvedToTheTruth loses the answers of transactions that took effect.
-func TestLostAnswerIsResolvedToTheTruth(t *testing.T) {
-	here := newSite(t)
-	manager := here.node("a", "z1", "")
-	here.store.SetFaults(storeserver.Faults{LoseAnswers: true})
+// TestLostResponseIsResolved drops the responses of transactions that took effect. Publish must find
+// its change in the store.
+func TestLostResponseIsResolved(t *testing.T) {
+	cluster := newTestCluster(t)
+	manager := cluster.node("a", "z1", "")
+	cluster.store.SetFaults(storeserver.Faults{LoseAnswers: true})
 	document, err := manager.Publish(t.Context(), change("mine", 0, 1))
 	assert.NilError(t, err)
 	assert.Equal(t, document.ChangeID, "mine")
@@ -117,9 +118,9 @@
 	assert.Equal(t, again.Revision, uint64(2))
 }
 
-func TestConflictIsTypedAndLosesNothing(t *testing.T) {
-	here := newSite(t)
-	manager := here.node("a", "z1", "")
+func TestConflictingChangeIsRejected(t *testing.T) {
+	cluster := newTestCluster(t)
+	manager := cluster.node("a", "z1", "")
 	first, err := manager.Publish(t.Context(), change("1", 0, 1))
 	assert.NilError(t, err)
 	_, err = manager.Publish(t.Context(), change("2", first.Revision, 2))
@@ -130,10 +131,11 @@
 	assert.Equal(t, tenant.Weight, 2.0)
 }
 
-// TestRacingPublishersAllCount lets publishers without a base race: none is lost.
-func TestRacingPublishersAllCount(t *testing.T) {
-	here := newSite(t)
-	nodes := []*configuration.Manager{here.node("a", "z1", ""), here.node("b", "z2", "")}
+// TestConcurrentPublishersLoseNoChange publishes changes without a base concurrently. Every accepted change
+// must be in the result.
+func TestConcurrentPublishersLoseNoChange(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodes := []*configuration.Manager{cluster.node("a", "z1", ""), cluster.node("b", "z2", "")}
 	var tasks sync.WaitGroup
 	failures := make([]error, 8)
 	for number := range failures {
@@ -153,12 +155,12 @@
 		assert.Assert(t, apierr.Is(err, apierr.RevisionConflict), "%v", err)
 	}
 	for _, manager := range nodes {
-		here.waitRevision(manager, uint64(accepted))
+		cluster.waitRevision(manager, uint64(accepted))
 		assert.Equal(t, len(manager.Current().Set.List()), accepted)
 	}
 }
 
-// TestStoreFailures: publishing fails clearly, and what is in force stays.
+// TestStoreFailures checks that publishing fails with StoreUnavailable and the installed revision stays.
 func TestStoreFailures(t *testing.T) {
 	failures := map[string]storeserver.Faults{
 		"down":         {Down: true},
@@ -167,81 +169,83 @@
 	}
 	for name, faults := range failures {
 		t.Run(name, func(t *testing.T) {
-			here := newSite(t)
-			manager := here.node("a", "z1", "")
+			cluster := newTestCluster(t)
+			manager := cluster.node("a", "z1", "")
 			_, err := manager.Publish(t.Context(), change("1", 0, 1))
 			assert.NilError(t, err)
-			here.store.SetFaults(faults)
-			// A limit lets a first burst through.
+			cluster.store.SetFaults(faults)
+			// The rate limit allows an initial burst.
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				_, err = manager.Publish(t.Context(), change("2", 1, 2))
 				if err != nil {
 					return poll.Success()
 				}
 				return poll.Continue("published")
-			}, poll.WithTimeout(patience))
+			}, poll.WithTimeout(pollTimeout))
 			assert.Assert(t, apierr.Is(err, apierr.StoreUnavailable), "%v", err)
 			assert.Assert(t, manager.Current().Revision() >= 1)
 		})
 	}
 }
 
-// TestDroppedWatchEventsAndCompaction: polling finds what the watch has lost.
+// TestDroppedWatchEventsAndCompaction checks that polling finds changes that the watch missed.
 func TestDroppedWatchEventsAndCompaction(t *testing.T) {
-	here := newSite(t)
-	reader := here.node("a", "z1", "")
-	here.seeds = nil
-	// A publisher that shares only the store with the reader.
-	publisher := here.node("b", "z9", "")
-	here.store.SetFaults(storeserver.Faults{DropEvents: true})
-	here.store.Compact()
+	cluster := newTestCluster(t)
+	reader := cluster.node("a", "z1", "")
+	cluster.seeds = nil
+	// The publisher has no seeds, so the reader can get the change only from the store.
+	publisher := cluster.node("b", "z9", "")
+	cluster.store.SetFaults(storeserver.Faults{DropEvents: true})
+	cluster.store.Compact()
 	document, err := publisher.Publish(t.Context(), change("1", 0, 1))
 	assert.NilError(t, err)
-	here.waitRevision(reader, document.Revision)
+	cluster.waitRevision(reader, document.Revision)
 }
 
-// TestRestartKnowsTheRevision from the disk, and from peers, with the store down.
-func TestRestartKnowsTheRevision(t *testing.T) {
-	here := newSite(t)
+// TestRestartWithoutStore checks that a node starting while the store is down gets the revision from disk or
+// from peers.
+func TestRestartWithoutStore(t *testing.T) {
+	cluster := newTestCluster(t)
 	folder := t.TempDir()
-	first := here.node("a", "z1", folder)
+	first := cluster.node("a", "z1", folder)
 	document, err := first.Publish(t.Context(), change("1", 0, 1))
 	assert.NilError(t, err)
-	here.store.SetFaults(storeserver.Faults{Down: true})
-	peers := here.seeds
-	here.seeds = nil
-	withDisk := here.node("b", "z2", folder)
-	assert.Equal(t, withDisk.Current().Revision(), document.Revision)
-	here.seeds = peers
-	withPeers := here.node("d", "z3", "")
-	here.waitRevision(withPeers, document.Revision)
+	cluster.store.SetFaults(storeserver.Faults{Down: true})
+	peers := cluster.seeds
+	cluster.seeds = nil
+	fromDisk := cluster.node("b", "z2", folder)
+	assert.Equal(t, fromDisk.Current().Revision(), document.Revision)
+	cluster.seeds = peers
+	fromPeers := cluster.node("d", "z3", "")
+	cluster.waitRevision(fromPeers, document.Revision)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if withPeers.Ready() {
+		if fromPeers.Ready() {
 			return poll.Success()
 		}
 		return poll.Continue("not ready")
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(pollTimeout))
 }
 
-// TestRolledBackStoreChangesNothing restores an old state of the store.
-func TestRolledBackStoreChangesNothing(t *testing.T) {
-	here := newSite(t)
-	manager := here.node("a", "z1", "")
+// TestRolledBackStore checks that a store restored to an older state accepts no changes and does not
+// revert the installed revision.
+func TestRolledBackStore(t *testing.T) {
+	cluster := newTestCluster(t)
+	manager := cluster.node("a", "z1", "")
 	_, err := manager.Publish(t.Context(), change("1", 0, 1))
 	assert.NilError(t, err)
-	old := here.store.Revision()
+	old := cluster.store.Revision()
 	document, err := manager.Publish(t.Context(), change("2", 0, 2))
 	assert.NilError(t, err)
-	here.store.Rollback(old)
+	cluster.store.Rollback(old)
 	_, err = manager.Publish(t.Context(), change("3", 0, 3))
 	assert.Assert(t, apierr.Is(err, apierr.StoreUnavailable), "%v", err)
 	assert.Equal(t, manager.Current().Revision(), document.Revision)
 }
 
-// TestUnusableRevisionIsNotInstalled: a policy that does not compile is refused at publishing.
-func TestUnusableRevisionIsNotInstalled(t *testing.T) {
-	here := newSite(t)
-	manager := here.node("a", "z1", "")
+// TestInvalidPolicyIsNotPublished checks that a policy that does not compile is rejected.
+func TestInvalidPolicyIsNotPublished(t *testing.T) {
+	cluster := newTestCluster(t)
+	manager := cluster.node("a", "z1", "")
 	_, err := manager.Publish(t.Context(), configuration.Change{ChangeID: "1", Upserts: []resource.Resource{
 		{Kind: resource.KindPolicy, Name: "broken", Policy: &resource.Policy{Score: "engine.lod"}},
 	}})
--- a/internal/configuration/delta.go
+++ b/internal/configuration/delta.go
@@ -7,7 +7,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// delta is what one revision changed; it saves sending 2,000 tenants for one changed field.
+// delta is the change from one revision to the next. Peers exchange it instead of the whole document.
 type delta struct {
 	Revision uint64              `json:"revision"`
 	ChangeID string              `json:"change_id"`
@@ -33,11 +33,11 @@
 	return result
 }
 
-// apply makes the next document of have. The delta must be for the revision after it.
-func (d *delta) apply(have Document) (Document, error) {
-	if d.Revision != have.Revision+1 {
-		return Document{}, apierr.New(apierr.Internal, apierr.NotRun, "delta to revision %d does not fit revision %d", d.Revision, have.Revision)
+// apply returns the document that follows base. The delta must be for the revision after base.
+func (d *delta) apply(base Document) (Document, error) {
+	if d.Revision != base.Revision+1 {
+		return Document{}, apierr.New(apierr.Internal, apierr.NotRun, "a delta to revision %d cannot be applied to revision %d", d.Revision, base.Revision)
 	}
 	change := Change{ChangeID: d.ChangeID, Author: d.Author, Upserts: d.Upserts, Deletes: d.Deletes}
-	return apply(have, change, d.At), nil
+	return apply(base, change, d.At), nil
 }
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -29,9 +29,9 @@
 	fetchKind      = "config_fetch"
 	fileName       = "configuration.zst"
 
-	// readersPerZone nodes watch the store in each zone; the others learn from peers.
+	// readersPerZone is how many nodes of a zone watch the store; the others fetch from peers.
 	readersPerZone = 2
-	// pollInterval finds what a watch has lost.
+	// pollInterval is how often readers poll the store, to find changes that the watch missed.
 	pollInterval = 5 * time.Second
 	retryDelay   = time.Second
 	fetchTimeout = 3 * time.Second
@@ -43,30 +43,33 @@
 	Membership *membership.Manager
 	Transport  *transport.Transport
 	Logger     *events.Logger
-	// DataFolder keeps the revision over restarts; empty means that peers and the store do.
+	// DataFolder keeps the revision across restarts. If empty, a restarted node gets it from peers or the store.
 	DataFolder string
-	// Check refuses what can't be installed, such as a policy that does not compile.
+	// Check rejects sets that can't be installed, such as one with a policy that does not compile.
 	Check func(*resource.Set) error
-	// EveryNodeReads makes each node watch the store: the baseline of the capacity measurement.
+	// EveryNodeReads makes each node watch the store, not only a few in each zone.
 	EveryNodeReads bool
 }
 
-// Manager keeps this node's configuration current. Invariant: the revision in force never falls.
+// Manager keeps this node's configuration current. Invariant: the revision in force never decreases.
 type Manager struct {
 	options Options
 
 	current atomic.Pointer[Snapshot]
-	// install serializes installations.
-	install     sync.Mutex
-	subscribers []func(*Snapshot)
-	wanted      atomic.Uint64
+	// installMutex serializes installations.
+	installMutex sync.Mutex
+	subscribers  []func(*Snapshot)
+	// latestKnown is the newest revision announced by any node.
+	latestKnown atomic.Uint64
 	wake        chan struct{}
-	storeSeen   atomic.Bool
+	// storeRead is set once this node has read the store.
+	storeRead   atomic.Bool
 	sourceMutex sync.Mutex
-	source      string
+	// source is the address of the node that announced latestKnown; empty if unknown.
+	source string
 }
 
-// NewManager returns a Manager with the revision kept on disk, or none.
+// NewManager returns a Manager that starts from the revision on disk, if there is one.
 func NewManager(options Options) (*Manager, error) {
 	manager := &Manager{options: options, wake: make(chan struct{}, 1)}
 	empty, err := resource.NewSet(nil)
@@ -75,11 +78,12 @@
 	}
 	manager.current.Store(&Snapshot{Set: empty})
 	transport.Handle(options.Transport, fetchKind, manager.serveFetch)
-	options.Membership.Subscribe(manager.heard)
+	options.Membership.Subscribe(manager.onMembershipChange)
 	return manager, manager.loadFile()
 }
 
-// Subscribe registers a function that hears each installed snapshot. Call it before Run.
+// Subscribe registers a function that is called with each installed snapshot, one call at a time. Call
+// Subscribe before Run.
 func (m *Manager) Subscribe(subscriber func(*Snapshot)) {
 	m.subscribers = append(m.subscribers, subscriber)
 }
@@ -87,39 +91,41 @@
 // Current returns the snapshot in force.
 func (m *Manager) Current() *Snapshot { return m.current.Load() }
 
-// Ready reports whether the node has a configuration at least as new as any it has heard of, from
-// the store itself or from another node.
+// Ready reports whether the configuration in force is at least as new as the newest revision known to
+// this node, and was compared with the store or with synced membership records.
 func (m *Manager) Ready() bool {
 	revision := m.Current().Revision()
-	if revision < m.wanted.Load() {
+	if revision < m.latestKnown.Load() {
 		return false
 	}
-	return m.storeSeen.Load() || revision > 0 && m.options.Membership.Synced()
+	return m.storeRead.Load() || revision > 0 && m.options.Membership.Synced()
 }
 
-// Run follows the store and the peers until the context ends.
+// Run fetches new revisions from peers and from the store until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	tasks.Go(func() { m.fetchLoop(ctx) })
-	tasks.Go(func() { m.readLoop(ctx) })
+	tasks.Go(func() { m.watchLoop(ctx) })
 	tasks.Wait()
 }
 
-// heard notes a revision that some member has.
-func (m *Manager) heard(change membership.Change) {
+// onMembershipChange records the revision that another member announced.
+func (m *Manager) onMembershipChange(change membership.Change) {
 	if change.Record == nil || change.Record.Key != recordKey {
 		return
 	}
-	m.want(change.Record.Version, change.Source)
+	m.noteRevision(change.Record.Version, change.Source)
 }
 
-func (m *Manager) want(revision uint64, source string) {
+// noteRevision raises latestKnown to revision and wakes the fetch loop. source is the address of a node
+// that has it, or empty.
+func (m *Manager) noteRevision(revision uint64, source string) {
 	for {
-		known := m.wanted.Load()
+		known := m.latestKnown.Load()
 		if revision <= known {
 			return
 		}
-		if m.wanted.CompareAndSwap(known, revision) {
+		if m.latestKnown.CompareAndSwap(known, revision) {
 			break
 		}
 	}
@@ -132,7 +138,7 @@
 	}
 }
 
-// fetchLoop gets wanted revisions from peers.
+// fetchLoop fetches revisions that are newer than the one in force from peers.
 func (m *Manager) fetchLoop(ctx context.Context) {
 	for {
 		select {
@@ -140,17 +146,17 @@
 			return
 		case <-m.wake:
 		}
-		for m.Current().Revision() < m.wanted.Load() && ctx.Err() == nil {
-			if !m.fetchOnce(ctx) {
-				waitFor(ctx, retryDelay/4)
+		for m.Current().Revision() < m.latestKnown.Load() && ctx.Err() == nil {
+			if !m.fetchFromPeers(ctx) {
+				sleep(ctx, retryDelay/4)
 			}
 		}
 	}
 }
 
-// fetchOnce asks the peer that told us first, then others, in rendezvous order of our own ID, so
-// that a crowd of nodes does not ask the same one.
-func (m *Manager) fetchOnce(ctx context.Context) bool {
+// fetchFromPeers tries the peer that announced the revision first, then others in the rendezvous order
+// of this node's ID, which spreads the requests of many nodes over different peers.
+func (m *Manager) fetchFromPeers(ctx context.Context) bool {
 	m.sourceMutex.Lock()
 	addresses := []string{m.source}
 	m.sourceMutex.Unlock()
@@ -177,21 +183,21 @@
 
 type fetchResponse struct {
 	Revision uint64 `json:"revision"`
-	// Delta is set when the server still knows what has changed since the client's revision.
+	// Delta is set if the client's revision is the one before the server's.
 	Delta *delta `json:"delta,omitempty"`
-	// Encoded is the whole document, compressed; empty when the server has nothing newer.
+	// Encoded is the whole compressed document; empty if Delta is set or the server has nothing newer.
 	Encoded []byte `json:"encoded,omitempty"`
 }
 
 func (m *Manager) fetchFrom(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	have := m.Current()
-	response, err := transport.Call[fetchResponse](ctx, m.options.Transport, address, fetchKind, fetchRequest{Have: have.Revision()})
-	if err != nil || response.Revision <= have.Revision() {
+	current := m.Current()
+	response, err := transport.Call[fetchResponse](ctx, m.options.Transport, address, fetchKind, fetchRequest{Have: current.Revision()})
+	if err != nil || response.Revision <= current.Revision() {
 		return false
 	}
-	document, err := response.document(have.Document)
+	document, err := response.document(current.Document)
 	if err == nil {
 		err = m.Install(document)
 	}
@@ -202,9 +208,9 @@
 	return true
 }
 
-func (r fetchResponse) document(have Document) (Document, error) {
+func (r fetchResponse) document(current Document) (Document, error) {
 	if r.Delta != nil {
-		return r.Delta.apply(have)
+		return r.Delta.apply(current)
 	}
 	return decodeDocument(r.Encoded)
 }
@@ -223,11 +229,11 @@
 	return response, nil
 }
 
-// readLoop watches the store while this node is one of its zone's readers.
-func (m *Manager) readLoop(ctx context.Context) {
+// watchLoop watches the store while this node is one of its zone's readers.
+func (m *Manager) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !m.isReader() {
-			waitFor(ctx, retryDelay)
+			sleep(ctx, retryDelay)
 			continue
 		}
 		watchContext, cancel := context.WithCancel(ctx)
@@ -239,14 +245,14 @@
 		m.pollWhileReader(watchContext)
 		cancel()
 		tasks.Wait()
-		waitFor(ctx, retryDelay)
+		sleep(ctx, retryDelay)
 	}
 }
 
 func (m *Manager) pollWhileReader(ctx context.Context) {
 	for ctx.Err() == nil && m.isReader() {
 		m.readStore(ctx)
-		waitFor(ctx, pollInterval)
+		sleep(ctx, pollInterval)
 	}
 }
 
@@ -267,7 +273,7 @@
 	return len(ranked) == 0
 }
 
-// readStore installs what the store holds, unless it is older than what is in force.
+// readStore installs the store's revision unless it is older than the one in force.
 func (m *Manager) readStore(ctx context.Context) {
 	current := m.Current().Revision()
 	_, stored, err := m.readHead(ctx)
@@ -289,7 +295,7 @@
 			return
 		}
 	}
-	m.storeSeen.Store(true)
+	m.storeRead.Store(true)
 }
 
 func (m *Manager) readHead(ctx context.Context) (configstore.Entry, head, error) {
@@ -300,7 +306,7 @@
 	var decoded head
 	if entry.Revision > 0 {
 		if err := json.Unmarshal(entry.Value, &decoded); err != nil {
-			return entry, head{}, errors.Wrap(err, "decoding the head of the configuration")
+			return entry, head{}, errors.Wrap(err, "decoding the configuration head")
 		}
 	}
 	return entry, decoded, nil
@@ -319,10 +325,11 @@
 	return decodeDocument(entry.Value)
 }
 
-// Install puts a document in force if it is newer than what is. The error tells why it can't be.
+// Install puts a document in force; one that is not newer than the current revision is ignored. It returns
+// an error if the document fails the checks.
 func (m *Manager) Install(document Document) error {
-	m.install.Lock()
-	defer m.install.Unlock()
+	m.installMutex.Lock()
+	defer m.installMutex.Unlock()
 	if document.Revision <= m.Current().Revision() {
 		return nil
 	}
@@ -337,7 +344,7 @@
 		subscriber(snapshot)
 	}
 	m.options.Logger.Emit(events.ConfigInstalled, events.F("revision", document.Revision), events.F("author", document.Author))
-	m.want(document.Revision, "")
+	m.noteRevision(document.Revision, "")
 	m.options.Membership.SetRecord(membership.Record{Key: recordKey, Version: document.Revision})
 	return nil
 }
@@ -361,7 +368,7 @@
 
 func (m *Manager) filePath() string { return filepath.Join(m.options.DataFolder, fileName) }
 
-// saveFile keeps the revision on disk. A failure is logged: peers and store still have it.
+// saveFile writes the revision to disk. A failure is only logged: peers and the store still have the revision.
 func (m *Manager) saveFile(snapshot *Snapshot) {
 	if m.options.DataFolder == "" {
 		return
@@ -385,7 +392,7 @@
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "reading the kept configuration")
+		return errors.Wrap(err, "reading the configuration file")
 	}
 	document, err := decodeDocument(encoded)
 	if err != nil {
@@ -395,7 +402,7 @@
 	return m.Install(document)
 }
 
-func waitFor(ctx context.Context, duration time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -404,5 +411,5 @@
 	}
 }
 
-// String describes a document for logs and errors.
+// String returns the revision and its author, for logs and errors.
 func (d Document) String() string { return fmt.Sprintf("revision %d by %s", d.Revision, d.Author) }
--- a/internal/configuration/order_test.go
+++ b/internal/configuration/order_test.go
@@ -11,23 +11,23 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// TestRevisionInForceOnlyRises installs revisions from many sides at once, in any order: what is in force, what subscribers hear, and
-// what a restart finds on disk never falls.
-func TestRevisionInForceOnlyRises(t *testing.T) {
-	const revisions, sides = 40, 6
-	here := newSite(t)
+// TestRevisionNeverDecreases installs revisions concurrently and in random order. The revision in force,
+// those passed to subscribers and the one on disk must never decrease.
+func TestRevisionNeverDecreases(t *testing.T) {
+	const revisions, installers = 40, 6
+	cluster := newTestCluster(t)
 	folder := t.TempDir()
-	manager := here.node("a", "z1", folder)
-	var heard []uint64
+	manager := cluster.node("a", "z1", folder)
+	var observed []uint64
 	manager.Subscribe(func(snapshot *configuration.Snapshot) {
-		// Installations are one at a time, and so are calls of this.
-		heard = append(heard, snapshot.Revision())
-		here.seeds = nil
-		restarted := here.node("restarted", "z1", folder)
-		assert.Check(t, restarted.Current().Revision() >= snapshot.Revision(), "the disk is behind what is in force")
+		// Subscribers are called one at a time, so observed needs no lock.
+		observed = append(observed, snapshot.Revision())
+		cluster.seeds = nil
+		restarted := cluster.node("restarted", "z1", folder)
+		assert.Check(t, restarted.Current().Revision() >= snapshot.Revision(), "the revision on disk is older than the one in force")
 	})
 	var installing sync.WaitGroup
-	for range sides {
+	for range installers {
 		installing.Go(func() {
 			last := uint64(0)
 			for _, index := range rand.Perm(revisions) {
@@ -38,14 +38,14 @@
 				now := manager.Current()
 				assert.Check(t, now.Revision() >= max(last, document.Revision))
 				tenant, known := now.Set.Tenant("guest")
-				assert.Check(t, known && tenant.Weight == float64(now.Revision()), "the resources are of another revision")
+				assert.Check(t, known && tenant.Weight == float64(now.Revision()), "the resources belong to another revision")
 				last = now.Revision()
 			}
 		})
 	}
 	installing.Wait()
 	assert.Equal(t, manager.Current().Revision(), uint64(revisions))
-	for index := 1; index < len(heard); index++ {
-		assert.Assert(t, heard[index] > heard[index-1], "%v", heard)
+	for index := 1; index < len(observed); index++ {
+		assert.Assert(t, observed[index] > observed[index-1], "%v", observed)
 	}
 }
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// publishAttempts bounds how often a change without Base is tried against other publishers.
+	// publishAttempts is how often a change without Base is tried when other publishers commit first.
 	publishAttempts = 8
 	resolveTimeout  = 10 * time.Second
 	storeRetryAfter = 5 * time.Second
 )
 
-// Publish commits a change in the store and installs it here. When the store's answer is lost, it
-// reads back and looks for the change's identifier; if the store stays away, the failure says that
-// the outcome is unknown. Errors: *apierr.Error, *resource.FieldError.
+// Publish commits a change in the store and installs it on this node. If the store's response is lost,
+// it reads the revisions back and looks for the change's ID; if the store stays unavailable, the error
+// says that the outcome is unknown. Errors: *apierr.Error, *resource.FieldError.
 func (m *Manager) Publish(ctx context.Context, change Change) (Document, error) {
 	for range publishAttempts {
 		document, err := m.publishOnce(ctx, change)
@@ -30,21 +30,21 @@
 		if err == nil || !errors.As(err, &conflict) {
 			return document, err
 		}
-		if mine, found := m.findChange(ctx, change.ChangeID); found {
-			return mine, m.Install(mine)
+		if published, found := m.findChange(ctx, change.ChangeID); found {
+			return published, m.Install(published)
 		}
 	}
-	return Document{}, apierr.New(apierr.RevisionConflict, apierr.NotRun, "other changes kept coming first").WithRetryAfter(time.Second)
+	return Document{}, apierr.New(apierr.RevisionConflict, apierr.NotRun, "other changes were committed first, in every attempt").WithRetryAfter(time.Second)
 }
 
 func (m *Manager) publishOnce(ctx context.Context, change Change) (Document, error) {
-	// What is in force now must be in the store already; another publisher may add to it meanwhile.
-	floor := max(m.Current().Revision(), m.wanted.Load())
+	// Read before the head: a revision in force now is in the store already, and the head can only be newer.
+	minRevision := max(m.Current().Revision(), m.latestKnown.Load())
 	entry, stored, err := m.readHead(ctx)
 	if err != nil {
 		return Document{}, m.storeFailure(err, apierr.NotRun)
 	}
-	current, err := m.documentAt(ctx, stored, floor)
+	current, err := m.documentOfHead(ctx, stored, minRevision)
 	if err != nil {
 		return Document{}, err
 	}
@@ -65,27 +65,27 @@
 		{Key: headKey, Value: headValue},
 	})
 	if err != nil {
-		return m.resolve(ctx, change, entry.Revision, err)
+		return m.resolveOutcome(ctx, change, entry.Revision, err)
 	}
 	m.options.Logger.Emit(events.ConfigPublished, events.F("revision", next.Revision), events.F("author", next.Author))
 	return next, m.Install(next)
 }
 
-// documentAt returns the document of the stored head. A store that was rolled back to an older
-// state takes no changes, for they would revert what is in force. floor is a revision that was in
-// force before the head was read.
-func (m *Manager) documentAt(ctx context.Context, stored head, floor uint64) (Document, error) {
+// documentOfHead returns the document that the stored head names. It fails if the store was rolled back
+// to a revision below minRevision, which was in force before the head was read: a change on top of
+// older state would revert the configuration.
+func (m *Manager) documentOfHead(ctx context.Context, stored head, minRevision uint64) (Document, error) {
 	current := m.Current().Document
-	if stored.Revision < floor {
-		m.options.Logger.Emit(events.ConfigStoreOlder, events.F("store", stored.Revision), events.F("in_force", floor))
+	if stored.Revision < minRevision {
+		m.options.Logger.Emit(events.ConfigStoreOlder, events.F("store", stored.Revision), events.F("in_force", minRevision))
 		return Document{}, apierr.New(apierr.StoreUnavailable, apierr.NotRun,
-			"the store holds revision %d, but revision %d is in force: the store was rolled back", stored.Revision, floor)
+			"the store holds revision %d, but revision %d is in force: the store was rolled back", stored.Revision, minRevision)
 	}
 	switch stored.Revision {
 	case current.Revision:
 		return current, nil
 	case 0:
-		// Another publisher has made the first revision since; the comparison will fail.
+		// Another publisher has created the first revision meanwhile, so the compare-and-swap will fail.
 		return Document{}, nil
 	}
 	document, err := m.readRevision(ctx, stored.Revision)
@@ -95,7 +95,7 @@
 	return document, nil
 }
 
-// checkBase refuses a change whose author has not seen the present state of what it touches.
+// checkBase rejects a change if a resource in it was changed after the revision that the change is based on.
 func (m *Manager) checkBase(current Document, change Change) error {
 	if change.Base == 0 || change.Base >= current.Revision {
 		return nil
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// resolve finds out what became of a write whose answer did not come. compared is the revision of
-// the head that the write was conditional on.
-func (m *Manager) resolve(ctx context.Context, change Change, compared int64, failure error) (Document, error) {
+// resolveOutcome determines whether a write took effect whose response was lost. comparedRevision is the
+// store's revision of the head that the write was conditional on.
+func (m *Manager) resolveOutcome(ctx context.Context, change Change, comparedRevision int64, failure error) (Document, error) {
 	var unavailable *configstore.ErrUnavailable
 	if !errors.As(failure, &unavailable) {
 		return Document{}, failure
@@ -133,14 +133,14 @@
 	for ctx.Err() == nil {
 		entry, _, err := m.readHead(ctx)
 		if err != nil {
-			waitFor(ctx, retryDelay/4)
+			sleep(ctx, retryDelay/4)
 			continue
 		}
-		if mine, found := m.findChange(ctx, change.ChangeID); found {
-			return mine, m.Install(mine)
+		if published, found := m.findChange(ctx, change.ChangeID); found {
+			return published, m.Install(published)
 		}
-		// Another head makes the write fail however late it arrives; the same head would let it pass.
-		if entry.Revision != compared {
+		// A write that is still in flight fails if the head has changed, but can succeed if it has not.
+		if entry.Revision != comparedRevision {
 			return Document{}, m.storeFailure(failure, apierr.NotRun)
 		}
 		return Document{}, m.storeFailure(failure, apierr.OutcomeUnknown)
@@ -148,7 +148,7 @@
 	return Document{}, m.storeFailure(failure, apierr.OutcomeUnknown)
 }
 
-// findChange looks for a change among the revisions above the one in force here.
+// findChange searches the latest revisions in the store for a change.
 func (m *Manager) findChange(ctx context.Context, changeID string) (Document, bool) {
 	_, stored, err := m.readHead(ctx)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return apierr.New(apierr.StoreUnavailable, outcome, "%s", err).WithRetryAfter(storeRetryAfter)
 }
 
-// History returns the latest accepted revisions, newest first, without their resources.
+// History returns up to count accepted revisions, newest first, without their resources.
 func (m *Manager) History(ctx context.Context, count int) ([]Document, error) {
 	_, stored, err := m.readHead(ctx)
 	if err != nil {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -1,6 +1,6 @@
-// Package configuration holds the accepted configuration: it publishes changes to the store by
-// compare-and-swap, brings every accepted revision to every node, and never goes back.
-// docs/design/configuration.md weighs the ways.
+// Package configuration publishes changes of the configuration to the store by compare-and-swap and
+// distributes accepted revisions to all nodes. A node never installs an older revision than it has.
+// docs/design/configuration.md describes the design.
 package configuration
 
 import (
@@ -14,46 +14,46 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// Document is one accepted revision as it stands in the store and travels between nodes.
+// Document is one accepted revision, as it is stored and sent between nodes.
 type Document struct {
 	Revision uint64 `json:"revision"`
-	// ChangeID identifies the change; a publisher whose answer was lost looks for it.
+	// ChangeID identifies the change, so that a publisher can find it after a lost response.
 	ChangeID string    `json:"change_id"`
 	Author   string    `json:"author"`
 	At       time.Time `json:"at"`
-	// Upserts and Deletes are what this revision changed; they make the audit log.
+	// Upserts and Deletes are the resources that this revision changed, for the audit log.
 	Upserts   []resource.Key      `json:"upserts,omitempty"`
 	Deletes   []resource.Key      `json:"deletes,omitempty"`
 	Resources []resource.Resource `json:"resources"`
 }
 
-// Change is what an operator asks for.
+// Change is a set of upserts and deletes that is published as one revision.
 type Change struct {
 	ChangeID string              `json:"change_id"`
 	Author   string              `json:"author"`
 	Upserts  []resource.Resource `json:"upserts,omitempty"`
 	Deletes  []resource.Key      `json:"deletes,omitempty"`
-	// Base is the revision that the operator has seen; 0 means any.
+	// Base is the revision that the change is based on; 0 skips the check for conflicts.
 	Base uint64 `json:"base,omitempty"`
 }
 
-// Snapshot is a revision in force.
+// Snapshot is an installed revision.
 type Snapshot struct {
 	Document Document
 	Set      *resource.Set
 	encoded  []byte
 }
 
-// Revision returns the snapshot's revision; 0 before any configuration.
+// Revision returns the snapshot's revision; 0 means that none was installed yet.
 func (s *Snapshot) Revision() uint64 { return s.Document.Revision }
 
-// head is the value of the single key on which publishers compete.
+// head is the value of headKey, on which publishers compare and swap.
 type head struct {
 	Revision uint64 `json:"revision"`
 	ChangeID string `json:"change_id"`
 }
 
-// Documents repeat much; zstd keeps 2,000 tenants well below the 1.5 MB that an etcd value may have.
+// Documents are compressed to stay below etcd's limit of 1.5 MB for a request.
 var (
 	encoder, _ = zstd.NewWriter(nil)
 	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDocumentBytes))
@@ -81,7 +81,7 @@
 	return document, nil
 }
 
-// apply returns the next revision's document.
+// apply returns the document of the revision after current.
 func apply(current Document, change Change, at time.Time) Document {
 	next := Document{Revision: current.Revision + 1, ChangeID: change.ChangeID, Author: change.Author, At: at}
 	replaced := make(map[resource.Key]bool)
--- a/internal/configuration/snapshot_test.go
+++ b/internal/configuration/snapshot_test.go
@@ -6,8 +6,8 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// FuzzDocument: whatever the store or a peer gives as a revision, it is refused or it is whole: what
-// was decoded and is encoded again says the same.
+// FuzzDocument checks that bytes from the store or a peer are either rejected or survive another round of
+// encoding and decoding.
 func FuzzDocument(f *testing.F) {
 	f.Add([]byte(`{"revision":3,"change_id":"c","resources":[{"kind":"Tenant","name":"t","spec":{"weight":1}}]}`))
 	f.Add([]byte(`{"revision":-1}`))
@@ -15,7 +15,7 @@
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, plain []byte) {
 		if _, err := decodeDocument(plain); err == nil && len(plain) > 0 {
-			// The bytes happen to be a compressed document of their own.
+			// The input is itself a compressed document.
 			return
 		}
 		document, err := decodeDocument(encoder.EncodeAll(plain, nil))
