--- a/internal/configstore/etcdgateway/etcdgateway.go
+++ b/internal/configstore/etcdgateway/etcdgateway.go
@@ -1,6 +1,6 @@
-// Package etcdgateway reaches a configuration store through the etcd v3 JSON gateway
-// (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/). Keys and values are base64, 64-bit
-// numbers are strings.
+// Package etcdgateway implements configstore.Store with the etcd v3 JSON gateway
+// (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/). In its JSON, keys and values are base64 and
+// 64-bit numbers are strings.
 package etcdgateway
 
 import (
@@ -25,11 +25,11 @@
 
 const (
 	maxResponseBytes = 32 << 20
-	// idleTimeout frees the store of connections that nodes opened before they knew of each other.
+	// idleTimeout closes the connections of nodes that only read the store before they joined their peers.
 	idleTimeout = 10 * time.Second
 )
 
-// KeyValue is one stored pair.
+// KeyValue is a key with its value and revisions.
 type KeyValue struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value,omitempty"`
@@ -38,19 +38,19 @@
 	Lease       int64  `json:"lease,string,omitempty"`
 }
 
-// ResponseHeader is part of every answer.
+// ResponseHeader is part of every response and carries the store's revision.
 type ResponseHeader struct {
 	Revision int64 `json:"revision,string,omitempty"`
 }
 
-// RangeRequest reads a key, or the keys up to RangeEnd.
+// RangeRequest reads a key, or all keys from Key up to but not including RangeEnd.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    int64  `json:"limit,string,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
 	Header ResponseHeader `json:"header"`
 	KVs    []KeyValue     `json:"kvs,omitempty"`
@@ -78,19 +78,19 @@
 	Range *RangeRequest `json:"request_range,omitempty"`
 }
 
-// TxnRequest is a transaction.
+// TxnRequest runs the operations of Success if all comparisons hold, and those of Failure otherwise.
 type TxnRequest struct {
 	Compare []Compare          `json:"compare"`
 	Success []RequestOperation `json:"success"`
 	Failure []RequestOperation `json:"failure,omitempty"`
 }
 
-// ResponseOperation is the answer to one operation.
+// ResponseOperation is the result of one operation; only that of a range is decoded.
 type ResponseOperation struct {
 	Range *RangeResponse `json:"response_range,omitempty"`
 }
 
-// TxnResponse answers a TxnRequest.
+// TxnResponse is the response to a TxnRequest.
 type TxnResponse struct {
 	Header    ResponseHeader      `json:"header"`
 	Succeeded bool                `json:"succeeded,omitempty"`
@@ -102,7 +102,7 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate names the watched key.
+// WatchCreate names the watched key and the revision to start at.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	StartRevision int64  `json:"start_revision,string,omitempty"`
@@ -113,7 +113,7 @@
 	Result WatchResult `json:"result"`
 }
 
-// WatchResult carries events, or the end of the watch.
+// WatchResult carries events or, with Canceled set, ends the watch.
 type WatchResult struct {
 	Header          ResponseHeader `json:"header"`
 	Created         bool           `json:"created,omitempty"`
@@ -122,13 +122,13 @@
 	Events          []WatchEvent   `json:"events,omitempty"`
 }
 
-// WatchEvent is a change; Type is empty for PUT, as the gateway leaves out zero values.
+// WatchEvent is a change of a key. Type is empty for PUT because the gateway omits zero values.
 type WatchEvent struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
 }
 
-// statusError is an HTTP status that is not 200.
+// statusError is a response with an HTTP status other than 200.
 type statusError struct {
 	Status int
 	Body   string
@@ -137,11 +137,11 @@
 // Error implements error.
 func (e *statusError) Error() string { return http.StatusText(e.Status) + ": " + e.Body }
 
-// watchEnded means that the store ended a watch.
-type watchEnded struct{ CompactRevision int64 }
+// watchCanceledError means that the store canceled a watch.
+type watchCanceledError struct{ CompactRevision int64 }
 
 // Error implements error.
-func (e *watchEnded) Error() string { return "the watch ended" }
+func (e *watchCanceledError) Error() string { return "the store canceled the watch" }
 
 // Client implements configstore.Store.
 type Client struct {
@@ -209,7 +209,7 @@
 		}
 		if message.Result.Canceled {
 			deliver(configstore.Event{Lost: true})
-			return &configstore.ErrUnavailable{Operation: "watch", Cause: &watchEnded{message.Result.CompactRevision}}
+			return &configstore.ErrUnavailable{Operation: "watch", Cause: &watchCanceledError{message.Result.CompactRevision}}
 		}
 		for _, event := range message.Result.Events {
 			deliver(configstore.Event{Entry: configstore.Entry{Value: event.KV.Value, Revision: event.KV.ModRevision}})
@@ -220,13 +220,13 @@
 func (c *Client) post(ctx context.Context, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	answer, err := c.send(ctx, path, request)
+	httpResponse, err := c.send(ctx, path, request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxResponseBytes)).Decode(response); err != nil {
-		return &configstore.ErrUnavailable{Operation: path, Cause: errors.Wrap(err, "decoding the answer")}
+	defer func() { _ = httpResponse.Body.Close() }()
+	if err := json.NewDecoder(io.LimitReader(httpResponse.Body, maxResponseBytes)).Decode(response); err != nil {
+		return &configstore.ErrUnavailable{Operation: path, Cause: errors.Wrap(err, "decoding the response")}
 	}
 	return nil
 }
@@ -240,7 +240,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "building the request")
 	}
-	// Without GetBody net/http can't replay the request by itself on a broken reused connection.
+	// Without GetBody, net/http can't replay the request when a reused connection breaks.
 	httpRequest.GetBody = nil
 	httpRequest.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(httpRequest)
--- a/internal/configstore/etcdgateway/etcdgateway_test.go
+++ b/internal/configstore/etcdgateway/etcdgateway_test.go
@@ -12,9 +12,9 @@
 	"github.com/mountstile/mountstile/internal/configstore"
 )
 
-// FuzzStoreAnswers: whatever a store answers to a read, a change or a watch, callers get a result or
-// a typed failure, and a change that the store did not confirm never looks accepted.
-func FuzzStoreAnswers(f *testing.F) {
+// FuzzStoreResponses checks that any response of a store to a read, write or watch gives a result or a typed
+// error, and that an unconfirmed write is never reported as successful.
+func FuzzStoreResponses(f *testing.F) {
 	f.Add(http.StatusOK, []byte(`{"header":{"revision":"7"},"kvs":[{"key":"aw==","value":"dg==","mod_revision":"7"}],"count":"1"}`))
 	f.Add(http.StatusOK, []byte(`{"succeeded":false,"responses":[{"response_range":{"kvs":[{"key":"aw==","mod_revision":"9"}]}}]}`))
 	f.Add(http.StatusOK, []byte(`{"result":{"created":true}}{"result":{"events":[{"kv":{"value":"dg==","mod_revision":"8"}}]}}{"result":{"canceled":true,"compact_revision":"5"}}`))
@@ -33,14 +33,14 @@
 		store := New(server.URL, time.Minute)
 		_, readError := store.Get(t.Context(), "k")
 		checkTyped(t, readError)
-		changeError := store.CompareAndSwap(t.Context(), "k", 1, []configstore.Write{{Key: "k", Value: []byte("v")}})
-		checkTyped(t, changeError)
-		if status != http.StatusOK && (readError == nil || changeError == nil) {
-			t.Fatalf("status %d counted as success", status)
+		writeError := store.CompareAndSwap(t.Context(), "k", 1, []configstore.Write{{Key: "k", Value: []byte("v")}})
+		checkTyped(t, writeError)
+		if status != http.StatusOK && (readError == nil || writeError == nil) {
+			t.Fatalf("status %d was treated as success", status)
 		}
 		watchError := store.Watch(t.Context(), "k", func(configstore.Event) {})
 		if watchError == nil {
-			t.Fatal("a watch whose answer has ended must say so")
+			t.Fatal("Watch returned no error after its response ended")
 		}
 		checkTyped(t, watchError)
 	})
