--- a/internal/resource/check.go
+++ b/internal/resource/check.go
@@ -9,7 +9,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// Check validates the resource by itself, without the resources it refers to.
+// Check validates the resource alone; NewSet checks its references to other resources.
 func (r Resource) Check() *FieldError {
 	if !namePattern.MatchString(r.Name) {
 		return r.fieldError("name", "must be 1 to 63 characters of a-z, 0-9, '-' and '.', ending in a letter or digit")
@@ -36,11 +36,11 @@
 func (r Resource) checkTenant() *FieldError {
 	tenant := r.Tenant
 	if strings.Contains(r.Name, ".") {
-		return r.fieldError("name", "a tenant's name has no '.', for it starts the API keys")
+		return r.fieldError("name", "must not contain '.' for a tenant, because API keys begin with the name and a '.'")
 	}
 	for index, key := range tenant.Keys {
 		if key.ID == "" || key.Salt == "" || len(key.Hash) != 64 {
-			return r.fieldError(fmt.Sprintf("keys[%d]", index), "needs id, salt and a 64 character hash; make one with 'mountstile key'")
+			return r.fieldError(fmt.Sprintf("keys[%d]", index), "needs an id, a salt and a hash of 64 characters; create one with 'mountstile key'")
 		}
 		if key.Role != RoleCaller && key.Role != RoleReader && key.Role != RoleOperator {
 			return r.fieldError(fmt.Sprintf("keys[%d].role", index), "%q is not one of caller, reader, operator", key.Role)
@@ -70,7 +70,7 @@
 		return r.fieldError("models", "a model service needs at least one model name")
 	}
 	if service.MaxTokens < 0 || service.QueueSeconds < 0 || service.CallSeconds < 0 || service.FirstTokenSeconds < 0 || service.StallSeconds < 0 || service.MaxAttempts < 0 {
-		return r.fieldError("maxTokens", "maxTokens, queueSeconds, callSeconds and maxAttempts must be above 0")
+		return r.fieldError("maxTokens", "maxTokens, queueSeconds, callSeconds, firstTokenSeconds, stallSeconds and maxAttempts must be above 0")
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 			return r.fieldError(field+".name", "%q appears twice", engine.Name)
 		}
 		names[engine.Name] = true
-		if !isWebAddress(engine.URL) {
+		if !isHTTPURL(engine.URL) {
 			return r.fieldError(field+".url", "%q is not an http or https URL", engine.URL)
 		}
 		if engine.Slots < 1 {
@@ -101,7 +101,7 @@
 	switch {
 	case loading == nil:
 		return nil
-	case !isWebAddress(loading.WeightStore):
+	case !isHTTPURL(loading.WeightStore):
 		return r.fieldError("loading.weightStore", "%q is not an http or https URL", loading.WeightStore)
 	case loading.AtOnce < 1:
 		return r.fieldError("loading.atOnce", "must be 1 or more")
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func isWebAddress(address string) bool {
+func isHTTPURL(address string) bool {
 	parsed, err := url.Parse(address)
 	return err == nil && (parsed.Scheme == "http" || parsed.Scheme == "https") && parsed.Host != ""
 }
--- a/internal/resource/decode.go
+++ b/internal/resource/decode.go
@@ -13,7 +13,7 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// FieldError is one thing wrong with a resource file.
+// FieldError is an invalid or unknown field of a resource, with its place in the file if it was read from one.
 type FieldError struct {
 	File   string
 	Line   int
@@ -33,7 +33,7 @@
 	return strings.TrimSpace(fmt.Sprintf("%s: %s: %s: %s", where, subject, e.Field, e.Reason))
 }
 
-// document is the YAML form of a resource.
+// document is the YAML representation of a resource.
 type document[Spec any] struct {
 	Kind Kind   `yaml:"kind"`
 	Name string `yaml:"name"`
@@ -45,7 +45,8 @@
 	Name string `yaml:"name"`
 }
 
-// Decode reads a stream of YAML documents. Unknown fields are refused. file is used in errors only.
+// Decode reads a stream of YAML documents, fills defaults and validates each resource. Unknown fields are
+// rejected. file is only used in errors.
 func Decode(file string, input io.Reader) ([]Resource, error) {
 	content, err := io.ReadAll(input)
 	if err != nil {
@@ -82,7 +83,7 @@
 	line := node.Body.GetToken().Position.Line
 	var head header
 	if err := yaml.Unmarshal(text, &head); err != nil {
-		return Resource{}, offset(yamlError(file, head, err), line)
+		return Resource{}, addLineOffset(yamlError(file, head, err), line)
 	}
 	result := Resource{Kind: head.Kind, Name: head.Name}
 	var err error
@@ -102,7 +103,7 @@
 			Reason: fmt.Sprintf("%q is not one of Tenant, Service, Pool, Policy, Limit", head.Kind)}
 	}
 	if err != nil {
-		return Resource{}, offset(yamlError(file, head, err), line)
+		return Resource{}, addLineOffset(yamlError(file, head, err), line)
 	}
 	result.applyDefaults()
 	if err := result.Check(); err != nil {
@@ -123,7 +124,7 @@
 
 var unknownFieldPattern = regexp.MustCompile(`unknown field "([^"]+)"`)
 
-// yamlError turns the library's error into a FieldError with a line.
+// yamlError converts an error of the YAML library to a FieldError, with the line if it is known.
 func yamlError(file string, head header, err error) *FieldError {
 	result := &FieldError{File: file, Kind: head.Kind, Name: head.Name, Field: "syntax", Reason: err.Error()}
 	var located yaml.Error
@@ -140,8 +141,8 @@
 	return result
 }
 
-// offset moves a line within a document to its line in the file.
-func offset(err *FieldError, documentLine int) *FieldError {
+// addLineOffset converts the error's line within a document to a line of the file.
+func addLineOffset(err *FieldError, documentLine int) *FieldError {
 	if err.Line > 0 {
 		err.Line += documentLine - 1
 	} else {
--- a/internal/resource/encode.go
+++ b/internal/resource/encode.go
@@ -7,7 +7,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Encode writes resources in the YAML form that Decode reads.
+// Encode returns the resources as YAML documents that Decode can read.
 func Encode(resources []Resource) ([]byte, error) {
 	var output bytes.Buffer
 	for _, item := range resources {
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,5 +1,5 @@
-// Package resource defines what operators publish: tenants, services, pools, policies and limits,
-// with their checks and their YAML form.
+// Package resource defines the resources that operators publish (tenants, services, pools, policies and
+// limits), their validation and their YAML encoding.
 package resource
 
 import (
@@ -22,14 +22,14 @@
 	KindLimit   Kind = "Limit"
 )
 
-// Kinds lists every kind in the order in which references between them resolve.
+// Kinds lists all kinds; a resource only refers to kinds before its own.
 var Kinds = []Kind{KindTenant, KindPolicy, KindPool, KindService, KindLimit}
 
-// Role is what an API key may do on the administration API.
+// Role is the set of permissions of an API key.
 type Role string
 
 const (
-	// RoleCaller may only send calls.
+	// RoleCaller may send calls, but not use the administration API.
 	RoleCaller Role = "caller"
 	// RoleReader may also read its tenant's resources and programs.
 	RoleReader Role = "reader"
@@ -37,12 +37,12 @@
 	RoleOperator Role = "operator"
 )
 
-// APIKey is a salted hash of a secret; the secret itself is never stored.
+// APIKey is an API key as it is stored: with a salted hash instead of the secret.
 type APIKey struct {
 	ID   string `json:"id" yaml:"id"`
 	Salt string `json:"salt" yaml:"salt"`
-	// Hash is the hexadecimal SHA-256 of salt and secret. Secrets are 128 random bits or more, so a
-	// slow password hash would add cost and no strength.
+	// Hash is the hexadecimal SHA-256 of salt and secret. Secrets have at least 128 random bits, so a slow
+	// password hash would add no security.
 	Hash     string    `json:"hash" yaml:"hash"`
 	Role     Role      `json:"role,omitempty" yaml:"role"`
 	NotAfter time.Time `json:"not_after,omitzero" yaml:"notAfter"`
@@ -50,10 +50,10 @@
 
 const saltBytes = 16
 
-// NewAPIKey hashes secret with a fresh salt.
+// NewAPIKey hashes secret with a new random salt.
 func NewAPIKey(id, secret string, role Role) APIKey {
 	salt := make([]byte, saltBytes)
-	_, _ = rand.Read(salt) // crypto/rand never fails: it aborts the program instead.
+	_, _ = rand.Read(salt) // crypto/rand.Read never returns an error; it aborts the program instead.
 	encoded := hex.EncodeToString(salt)
 	return APIKey{ID: id, Salt: encoded, Hash: hashSecret(encoded, secret), Role: role}
 }
@@ -63,7 +63,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Matches reports whether secret belongs to the key and the key is valid at now.
+// Matches reports whether secret is the key's secret and the key has not expired at now. The comparison takes
+// constant time.
 func (k APIKey) Matches(secret string, now time.Time) bool {
 	if !k.NotAfter.IsZero() && now.After(k.NotAfter) {
 		return false
@@ -71,95 +72,95 @@
 	return subtle.ConstantTimeCompare([]byte(k.Hash), []byte(hashSecret(k.Salt, secret))) == 1
 }
 
-// Tenant is a team that shares the platform.
+// Tenant is a team that uses the platform, with its API keys and budgets.
 type Tenant struct {
 	Keys []APIKey `json:"keys" yaml:"keys"`
-	// HomeRegion holds the tenant's programs; empty means the first region of the cluster.
+	// HomeRegion is the region that stores the tenant's programs; empty means the first region of the cluster.
 	HomeRegion string `json:"home_region,omitempty" yaml:"homeRegion"`
-	// Weight is the tenant's share under overload, relative to other tenants.
+	// Weight is the tenant's share of the capacity under overload, relative to other tenants.
 	Weight float64 `json:"weight,omitempty" yaml:"weight"`
-	// ProgramTokenBudget bounds prompt and generated tokens of one program with its sub-agents.
+	// ProgramTokenBudget limits the prompt and generated tokens of a program, including its sub-agents.
 	ProgramTokenBudget int64 `json:"program_token_budget,omitempty" yaml:"programTokenBudget"`
-	// ProgramCallBudget bounds the calls of one program with its sub-agents.
+	// ProgramCallBudget limits the calls of a program, including its sub-agents.
 	ProgramCallBudget int64 `json:"program_call_budget,omitempty" yaml:"programCallBudget"`
-	// ProgramIdleSeconds ends a program that makes no call for so long.
+	// ProgramIdleSeconds is how long a program may make no call before it is ended.
 	ProgramIdleSeconds int64 `json:"program_idle_seconds,omitempty" yaml:"programIdleSeconds"`
-	// ProgramMaxSeconds ends a program at this age.
+	// ProgramMaxSeconds is the age at which a program is ended.
 	ProgramMaxSeconds int64 `json:"program_max_seconds,omitempty" yaml:"programMaxSeconds"`
 }
 
-// ServiceType tells which protocol a service's back ends speak.
+// ServiceType is the protocol of a service's back ends.
 type ServiceType string
 
 const (
-	// ServiceModel back ends speak the OpenAI chat-completions API.
+	// ServiceModel back ends implement the OpenAI chat-completions API.
 	ServiceModel ServiceType = "model"
 	// ServiceApplication back ends are plain HTTP servers.
 	ServiceApplication ServiceType = "application"
 )
 
-// Service is what callers address: models by name, or an application by its prefix.
+// Service is a target of calls: models, addressed by name, or an application, addressed by a path prefix.
 type Service struct {
 	Type    ServiceType `json:"type" yaml:"type"`
 	Pool    string      `json:"pool" yaml:"pool"`
 	Policy  string      `json:"policy,omitempty" yaml:"policy"`
 	Models  []string    `json:"models,omitempty" yaml:"models"`
 	Tenants []string    `json:"tenants" yaml:"tenants"`
-	// MaxTokens bounds the generated tokens of one call, and is its default.
+	// MaxTokens limits the generated tokens of a call, and is the default for calls that set no limit.
 	MaxTokens int64 `json:"max_tokens,omitempty" yaml:"maxTokens"`
 	// QueueSeconds is how long a call may wait for an engine.
 	QueueSeconds float64 `json:"queue_seconds,omitempty" yaml:"queueSeconds"`
-	// CallSeconds is how long one call may take in all.
+	// CallSeconds is how long a call may take in total.
 	CallSeconds float64 `json:"call_seconds,omitempty" yaml:"callSeconds"`
-	// FirstTokenSeconds is how long a model engine may take to its first token, and StallSeconds from
-	// one to the next, before the attempt counts as lost.
+	// FirstTokenSeconds is how long a model engine may take until its first token, and StallSeconds the
+	// longest time between tokens, before the attempt counts as lost.
 	FirstTokenSeconds float64 `json:"first_token_seconds,omitempty" yaml:"firstTokenSeconds"`
 	StallSeconds      float64 `json:"stall_seconds,omitempty" yaml:"stallSeconds"`
-	// MaxAttempts bounds how often a repeatable call is sent to an engine.
+	// MaxAttempts limits how often a call that is safe to repeat is sent to an engine.
 	MaxAttempts int `json:"max_attempts,omitempty" yaml:"maxAttempts"`
 }
 
-// Engine is one back end of a pool.
+// Engine is a back end of a pool.
 type Engine struct {
 	Name   string `json:"name" yaml:"name"`
 	URL    string `json:"url" yaml:"url"`
 	Zone   string `json:"zone,omitempty" yaml:"zone"`
 	Region string `json:"region,omitempty" yaml:"region"`
-	// Slots is how many calls the engine runs at once.
+	// Slots is how many calls the engine can run concurrently.
 	Slots int `json:"slots,omitempty" yaml:"slots"`
-	// Draining engines get no new work.
+	// Draining engines get no new calls.
 	Draining bool `json:"draining,omitempty" yaml:"draining"`
 }
 
 // Pool is a set of interchangeable engines.
 type Pool struct {
 	Engines []Engine `json:"engines" yaml:"engines"`
-	// Loading, if set, lets the system decide which model each engine has loaded. Without it each
-	// engine serves all models of the pool's services.
+	// Loading, if set, lets the scheduler decide which model each engine loads. Otherwise each engine
+	// serves all models of the pool's services.
 	Loading *Loading `json:"loading,omitempty" yaml:"loading"`
 }
 
 // Loading describes how the engines of a pool load models.
 type Loading struct {
-	// WeightStore is the base URL that engines pull weights from.
+	// WeightStore is the base URL that engines download weights from.
 	WeightStore string `json:"weight_store" yaml:"weightStore"`
-	// AtOnce bounds how many engines load at one time, for they share the store's rate.
+	// AtOnce limits how many engines load concurrently, because they share the store's bandwidth.
 	AtOnce int `json:"at_once,omitempty" yaml:"atOnce"`
-	// HoldSeconds is how long an engine keeps a model at least.
+	// HoldSeconds is the shortest time that an engine keeps a model.
 	HoldSeconds float64 `json:"hold_seconds,omitempty" yaml:"holdSeconds"`
 }
 
-// Policy is a set of short CEL programs; an empty one means the built-in default.
+// Policy is a set of CEL expressions; an empty one means the built-in default.
 type Policy struct {
 	Filter string `json:"filter,omitempty" yaml:"filter"`
 	Score  string `json:"score,omitempty" yaml:"score"`
 	Rank   string `json:"rank,omitempty" yaml:"rank"`
 	Admit  string `json:"admit,omitempty" yaml:"admit"`
-	// Patience is how many seconds a call rather waits for a candidate than goes to the next.
+	// Patience is how many seconds a call waits for a candidate before it goes to the next one.
 	Patience string `json:"patience,omitempty" yaml:"patience"`
 }
 
-// Limit bounds one tenant's use of one service over all nodes.
+// Limit restricts a tenant's use of a service, in total over all nodes.
 type Limit struct {
 	Tenant            string  `json:"tenant" yaml:"tenant"`
 	Service           string  `json:"service" yaml:"service"`
@@ -167,7 +168,7 @@
 	Concurrent        int     `json:"concurrent,omitempty" yaml:"concurrent"`
 }
 
-// Resource is one published object. Exactly one of the pointers is set, the one that Kind names.
+// Resource is a published object. Exactly one of the pointers is set, that of Kind.
 type Resource struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -186,10 +187,10 @@
 	Name string `json:"name"`
 }
 
-// Key returns the resource's identity.
+// Key returns the key that identifies the resource.
 func (r Resource) Key() Key { return Key{Kind: r.Kind, Name: r.Name} }
 
-// Defaults of unset fields, in one place.
+// Defaults of unset fields.
 const (
 	DefaultWeight             = 1.0
 	DefaultProgramTokenBudget = 4_000_000
@@ -207,7 +208,6 @@
 	DefaultHoldSeconds        = 60
 )
 
-// applyDefaults fills unset fields.
 func (r *Resource) applyDefaults() {
 	switch {
 	case r.Tenant != nil:
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -13,8 +13,8 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-func TestMistakesNameFileLineAndField(t *testing.T) {
-	mistakes := map[string]struct {
+func TestDecodeErrorsNameFileLineAndField(t *testing.T) {
+	cases := map[string]struct {
 		text  string
 		line  int
 		field string
@@ -28,34 +28,34 @@
 		"twice":           {"kind: Pool\nname: a\nspec: {engines: [{name: e, url: 'http://x'}, {name: e, url: 'http://y'}]}\n", 1, "engines[1].name"},
 		"no models":       {"kind: Service\nname: a\nspec: {type: model, pool: p}\n", 1, "models"},
 	}
-	for name, mistake := range mistakes {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := resource.Decode("file.yaml", strings.NewReader(mistake.text))
+			_, err := resource.Decode("file.yaml", strings.NewReader(testCase.text))
 			var field *resource.FieldError
 			assert.Assert(t, errors.As(err, &field), "%v", err)
 			assert.Equal(t, field.File, "file.yaml")
-			assert.Equal(t, field.Line, mistake.line)
-			assert.Equal(t, field.Field, mistake.field)
+			assert.Equal(t, field.Line, testCase.line)
+			assert.Equal(t, field.Field, testCase.field)
 		})
 	}
 }
 
-func TestReferencesAreChecked(t *testing.T) {
+func TestNewSetChecksReferences(t *testing.T) {
 	tenant := resource.Resource{Kind: resource.KindTenant, Name: "t", Tenant: &resource.Tenant{Weight: 1}}
 	pool := resource.Resource{Kind: resource.KindPool, Name: "p", Pool: &resource.Pool{}}
-	service := func(name string, change func(*resource.Service)) resource.Resource {
+	service := func(name string, modify func(*resource.Service)) resource.Resource {
 		spec := &resource.Service{Type: resource.ServiceModel, Pool: "p", Models: []string{"m"}, Tenants: []string{"t"}}
-		change(spec)
+		modify(spec)
 		return resource.Resource{Kind: resource.KindService, Name: name, Service: spec}
 	}
-	same := func(*resource.Service) {}
-	_, err := resource.NewSet([]resource.Resource{tenant, pool, service("s", same)})
+	unchanged := func(*resource.Service) {}
+	_, err := resource.NewSet([]resource.Resource{tenant, pool, service("s", unchanged)})
 	assert.NilError(t, err)
 	bad := map[string][]resource.Resource{
 		"pool":   {tenant, pool, service("s", func(s *resource.Service) { s.Pool = "q" })},
 		"policy": {tenant, pool, service("s", func(s *resource.Service) { s.Policy = "q" })},
 		"tenant": {tenant, pool, service("s", func(s *resource.Service) { s.Tenants = []string{"q"} })},
-		"models": {tenant, pool, service("s", same), service("r", same)},
+		"models": {tenant, pool, service("s", unchanged), service("r", unchanged)},
 		"limit":  {tenant, {Kind: resource.KindLimit, Name: "l", Limit: &resource.Limit{Tenant: "t", Service: "s"}}},
 	}
 	for name, resources := range bad {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestKeysMatchUntilTheyEnd(t *testing.T) {
+func TestAPIKeyMatchesUntilItExpires(t *testing.T) {
 	key := resource.NewAPIKey("k", "secret", resource.RoleCaller)
 	now := time.Unix(1000, 0)
 	assert.Assert(t, key.Matches("secret", now))
@@ -77,7 +77,7 @@
 	assert.Assert(t, !key.Matches("secret", now.Add(time.Second)))
 }
 
-// TestExamplesDecodeAndEncode: what is encoded decodes to the same.
+// TestExamplesDecodeAndEncode checks that the examples survive a round of encoding and decoding.
 func TestExamplesDecodeAndEncode(t *testing.T) {
 	for _, name := range []string{"brindleway", "mapishi"} {
 		content, err := os.ReadFile("../../examples/" + name + ".yaml")
@@ -92,7 +92,7 @@
 	}
 }
 
-// FuzzDecode: whatever a file holds, there is a list of checked resources or a typed error.
+// FuzzDecode checks that any input gives valid resources or a *FieldError.
 func FuzzDecode(f *testing.F) {
 	f.Add("kind: Tenant\nname: a\nspec: {weight: 2}\n")
 	f.Add("---\n# nothing\n---\nkind: Pool\n")
@@ -102,11 +102,11 @@
 		resources, err := resource.Decode("fuzz", strings.NewReader(text))
 		var field *resource.FieldError
 		if err != nil && !errors.As(err, &field) {
-			t.Fatalf("an error without a type: %v", err)
+			t.Fatalf("error is not a *FieldError: %v", err)
 		}
 		for _, item := range resources {
 			if item.Check() != nil {
-				t.Fatal("an unchecked resource")
+				t.Fatal("Decode returned an invalid resource")
 			}
 		}
 	})
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// Set is an immutable collection of resources that refer to each other correctly.
+// Set is an immutable collection of resources whose references to each other are valid.
 type Set struct {
 	resources map[Key]Resource
-	models    map[string]string
-	limits    map[limitKey]Limit
-	// loading are the pools whose engines load models; served is which models the services of each
-	// pool have.
-	loading []Resource
-	served  map[string][]string
+	// models maps a model to the name of the service that serves it.
+	models map[string]string
+	limits map[limitKey]Limit
+	// loadingPools are the pools whose engines load models.
+	loadingPools []Resource
+	// poolModels maps a pool's name to the models of the services that use it.
+	poolModels map[string][]string
 }
 
 type limitKey struct{ tenant, service string }
 
-// NewSet checks references between resources. The error is a *FieldError.
+// NewSet validates resources and the references between them. The error is a *FieldError.
 func NewSet(resources []Resource) (*Set, error) {
-	set := &Set{resources: make(map[Key]Resource, len(resources)), models: make(map[string]string), limits: make(map[limitKey]Limit), served: make(map[string][]string)}
+	set := &Set{resources: make(map[Key]Resource, len(resources)), models: make(map[string]string), limits: make(map[limitKey]Limit), poolModels: make(map[string][]string)}
 	for _, item := range resources {
 		if err := item.Check(); err != nil {
 			return nil, err
@@ -34,7 +35,7 @@
 			return nil, err
 		}
 		if item.Pool != nil && item.Pool.Loading != nil {
-			set.loading = append(set.loading, item)
+			set.loadingPools = append(set.loadingPools, item)
 		}
 	}
 	return set, nil
@@ -53,7 +54,7 @@
 		}
 		key := limitKey{item.Limit.Tenant, item.Limit.Service}
 		if _, taken := s.limits[key]; taken {
-			return item.fieldError("tenant", "tenant %s has another limit on service %s", key.tenant, key.service)
+			return item.fieldError("tenant", "tenant %s already has a limit on service %s", key.tenant, key.service)
 		}
 		s.limits[key] = *item.Limit
 	}
@@ -79,11 +80,11 @@
 		}
 		s.models[model] = item.Name
 	}
-	s.served[service.Pool] = append(s.served[service.Pool], service.Models...)
+	s.poolModels[service.Pool] = append(s.poolModels[service.Pool], service.Models...)
 	return nil
 }
 
-// List returns all resources by kind and name.
+// List returns all resources, sorted by kind, in the order of Kinds, and by name.
 func (s *Set) List() []Resource {
 	list := slices.Collect(maps.Values(s.resources))
 	slices.SortFunc(list, func(a, b Resource) int {
@@ -95,13 +96,13 @@
 	return list
 }
 
-// LoadingPools returns the pools whose engines load models, by name. The slice must not be changed.
-func (s *Set) LoadingPools() []Resource { return s.loading }
+// LoadingPools returns the pools whose engines load models, sorted by name. The slice must not be changed.
+func (s *Set) LoadingPools() []Resource { return s.loadingPools }
 
 // ModelsOfPool returns the models of the services that use a pool. The slice must not be changed.
-func (s *Set) ModelsOfPool(pool string) []string { return s.served[pool] }
+func (s *Set) ModelsOfPool(pool string) []string { return s.poolModels[pool] }
 
-// Engine returns one engine of a pool.
+// Engine returns the engine of a pool by name.
 func (s *Set) Engine(pool, name string) (Engine, bool) {
 	found, known := s.Pool(pool)
 	if !known {
@@ -114,7 +115,7 @@
 	return found.Engines[index], true
 }
 
-// Get returns one resource.
+// Get returns the resource with a key.
 func (s *Set) Get(key Key) (Resource, bool) {
 	found, ok := s.resources[key]
 	return found, ok
@@ -144,7 +145,7 @@
 	return found.Policy, ok
 }
 
-// ServiceOfModel returns the service that serves a model.
+// ServiceOfModel returns the service that serves a model, with its name.
 func (s *Set) ServiceOfModel(model string) (string, *Service, bool) {
 	name, ok := s.models[model]
 	if !ok {
@@ -160,10 +161,10 @@
 	return found, ok
 }
 
-// apiKeyParts are the parts of an API key: TENANT.KEYID.SECRET.
+// apiKeyParts is the number of parts of an API key: TENANT.KEYID.SECRET.
 const apiKeyParts = 3
 
-// Authenticate finds the tenant and role of an API key.
+// Authenticate returns the tenant and role of an API key, or false if the key is unknown or expired.
 func (s *Set) Authenticate(apiKey string, now time.Time) (name string, tenant *Tenant, role Role, ok bool) {
 	parts := strings.SplitN(apiKey, ".", apiKeyParts)
 	if len(parts) != apiKeyParts {
