--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,5 +1,5 @@
-// Package events is the catalogue of numbered log events and the logger that writes them.
-// docs/EVENTS.md is generated from it; a test holds both together.
+// Package events defines the numbered log events and the logger that writes them. docs/EVENTS.md is
+// generated from the catalogue, and a test fails if the two differ.
 package events
 
 import (
@@ -12,7 +12,7 @@
 // ID is the number of an event. A number is never reused.
 type ID int
 
-// The events, by concern: 1xx node, 2xx membership, 3xx configuration, 4xx program state,
+// The events, grouped by hundreds: 1xx node, 2xx membership, 3xx configuration, 4xx program state,
 // 5xx scheduling and engines, 6xx gateway, 7xx administration, 8xx transport.
 const (
 	NodeStarting           ID = 101
@@ -99,7 +99,7 @@
 	PeerWayChanged         ID = 804
 )
 
-// Event describes one entry of the catalogue.
+// Event is an entry of the catalogue: an event's number, name, level and log message.
 type Event struct {
 	ID    ID
 	Name  string
@@ -107,7 +107,7 @@
 	Text  string
 }
 
-// Catalogue lists every event in the order of its number.
+// Catalogue lists all events by number.
 var Catalogue = []Event{
 	{NodeStarting, "node_starting", logrus.InfoLevel, "the process has read its settings and starts"},
 	{NodeReady, "node_ready", logrus.InfoLevel, "the node holds a configuration and serves callers"},
@@ -201,16 +201,17 @@
 	return index
 }()
 
-// Logger writes events of the catalogue. The zero value discards them.
+// Logger writes events of the catalogue. The zero value and nil discard them.
 type Logger struct {
 	entry     *logrus.Entry
 	startedAt time.Time
 }
 
-// timeLayout has milliseconds, so that lines of several processes can be put in order.
+// timeLayout includes milliseconds, so that the lines of several processes can be sorted by time.
 const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
-// NewLogger writes JSON lines to output at the given level; every line carries the node's name.
+// NewLogger returns a Logger that writes JSON lines to output. Events below level are discarded, and each line
+// has the node's name.
 func NewLogger(output io.Writer, level logrus.Level, node string) *Logger {
 	logger := logrus.New()
 	logger.SetOutput(output)
@@ -222,16 +223,16 @@
 // Discard returns a Logger that writes nothing.
 func Discard() *Logger { return NewLogger(io.Discard, logrus.PanicLevel, "") }
 
-// Field is one named value of a log line.
+// Field is a named value of a log line.
 type Field struct {
 	Name  string
 	Value any
 }
 
-// F makes a Field.
+// F returns a Field; it keeps calls of Emit short.
 func F(name string, value any) Field { return Field{Name: name, Value: value} }
 
-// Emit writes one event with its fields.
+// Emit writes an event with its fields. Values that are errors are written as their messages.
 func (l *Logger) Emit(id ID, fields ...Field) {
 	if l == nil || l.entry == nil {
 		return
@@ -242,7 +243,7 @@
 	}
 	values := make(logrus.Fields, len(fields)+2)
 	values["event"] = int(id)
-	// The time of day may jump; this one does not.
+	// Unlike the wall clock, the monotonic time since the start never jumps.
 	values["up_millis"] = time.Since(l.startedAt).Milliseconds()
 	values["name"] = event.Name
 	for _, field := range fields {
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -18,7 +18,7 @@
 	assert.Equal(t, string(page), events.Markdown(), "run: go run ./cmd/mountstile-lab events > docs/EVENTS.md")
 }
 
-func TestNumbersAreUniqueAndAscend(t *testing.T) {
+func TestNumbersAscendAndNamesAreUnique(t *testing.T) {
 	last := events.ID(0)
 	names := make(map[string]bool)
 	for _, event := range events.Catalogue {
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestLinesCarryNumberAndFields(t *testing.T) {
+func TestEmitWritesNumberAndFields(t *testing.T) {
 	var output bytes.Buffer
 	events.NewLogger(&output, logrus.InfoLevel, "n1").Emit(events.NodeReady, events.F("revision", 7))
 	var line struct {
--- a/internal/events/markdown.go
+++ b/internal/events/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown is docs/EVENTS.md.
+// Markdown returns the catalogue as the content of docs/EVENTS.md.
 func Markdown() string {
 	var text strings.Builder
 	text.WriteString("# Log events\n\nLogs are JSON lines on standard error. Each line has the fields `time`, `level`, `msg`, `node`, `event` (the number below) and `name`, and those of the event itself. This page is made from `internal/events`; `mountstile-lab events` prints it, and a test compares.\n\n")
--- a/internal/events/queue.go
+++ b/internal/events/queue.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 )
 
-// queuedLines is how many lines may wait to be written.
-const queuedLines = 2048
+// queueCapacity is how many lines may wait to be written.
+const queueCapacity = 2048
 
-// QueuedWriter writes lines in the background. A line that comes while the queue is full is dropped
-// and counted, so that logging never holds up a request.
+// QueuedWriter writes lines in the background. A line is dropped and counted if the queue is full, so that
+// logging never delays a request.
 type QueuedWriter struct {
 	output  io.Writer
 	lines   chan []byte
@@ -19,14 +19,14 @@
 	dropped atomic.Int64
 }
 
-// NewQueuedWriter returns a writer to output.
+// NewQueuedWriter returns a QueuedWriter that writes to output and starts its goroutine; Close ends it.
 func NewQueuedWriter(output io.Writer) *QueuedWriter {
-	writer := &QueuedWriter{output: output, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	writer := &QueuedWriter{output: output, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go writer.run()
 	return writer
 }
 
-// Write implements io.Writer; it never waits and never fails.
+// Write implements io.Writer. It copies the line, never blocks and never fails.
 func (w *QueuedWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -37,10 +37,10 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns how many lines were dropped so far.
 func (w *QueuedWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits. Lines that come later are lost.
+// Close writes the queued lines and stops. Lines written after Close are lost.
 func (w *QueuedWriter) Close() {
 	w.once.Do(func() {
 		w.lines <- nil
