--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts the log lines of several processes together into the story of one request, or
-// of all requests of a program: what was decided, by what, and how it ended.
+// Package explain builds a report on one request, or on all requests of a program, from the logs of several
+// processes: the decisions, the state of the cluster at the time, and the outcome.
 //
 // Usage:
 //
@@ -24,13 +24,13 @@
 )
 
 const (
-	// contextBefore and contextAfter are how far around a request changes of belief are shown.
+	// contextBefore and contextAfter are how long before and after a request state changes are included.
 	contextBefore = 3 * time.Second
 	contextAfter  = time.Second
-	// maximalContext bounds the context lines.
-	maximalContext  = 60
-	maximalLine     = 1 << 20
-	reportTimeShape = "15:04:05.000"
+	// maxContextLines limits the context lines of a report.
+	maxContextLines  = 60
+	maxLineBytes     = 1 << 20
+	reportTimeLayout = "15:04:05.000"
 )
 
 // Line is one log line.
@@ -41,14 +41,15 @@
 	name   string
 	node   string
 	fields map[string]json.RawMessage
-	// others is how many further lines, mostly of other processes, tell the same change.
+	// others is how many more lines, mostly of other processes, report the same change.
 	others int
 }
 
-// hiddenFields are shown otherwise, or tell nothing about the request.
+// hiddenFields are not listed among a line's details: they have their own columns or say nothing about the
+// request.
 var hiddenFields = []string{"time", "event", "name", "node", "level", "msg", "up_millis"}
 
-// contextEvents change what a process believes.
+// contextEvents report changes in a process's view of the cluster or in its own state.
 var contextEvents = []events.ID{
 	events.NodeStarting, events.NodeReady, events.NodeStopping, events.NodeStopped, events.RoutesInstalled, events.ConfigRejected,
 	events.StoreLost, events.StoreReached, events.CatalogPeerLost, events.CatalogPeerReached, events.CatalogSourceStarted,
@@ -56,15 +57,15 @@
 	events.ReplicaRetiring,
 }
 
-// engineEvents change what a process believes of one engine.
+// engineEvents report changes in a process's view of one engine.
 var engineEvents = []events.ID{events.EngineChanged, events.EngineGone, events.EngineBreakerOpen, events.EngineBreakerClosed}
 
-// Read takes the JSON lines of a log. Text before the first brace of a line, such as a collector's
-// prefix, is left out, and so are lines without one.
+// Read parses the JSON lines of a log. It skips text before the first brace of a line, such as the prefix of a
+// log collector, and lines that are not events.
 func Read(input io.Reader, source string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, maximalLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if line, ok := parse(scanner.Bytes(), source); ok {
 			lines = append(lines, line)
@@ -94,7 +95,7 @@
 	return line, err == nil
 }
 
-// text is the value of a field as a reader would write it.
+// text returns the value of a field: strings without quotes, other values as JSON.
 func (l Line) text(field string) string {
 	raw := l.fields[field]
 	var text string
@@ -104,20 +105,20 @@
 	return string(raw)
 }
 
-// Matches tells whether the line is about a request or program.
+// Matches reports whether the line belongs to the request or program with an ID.
 func (l Line) Matches(id string) bool {
 	return l.text("request") == id || l.text("program") == id || l.text("previous") == id
 }
 
-// Report is the story of one request or program.
+// Report holds the log lines that concern one request or program.
 type Report struct {
 	id string
-	// lines are about it; context are changes of belief around them. Both are in order of time.
+	// lines belong to the request or program; context are state changes around them. Both are sorted by time.
 	lines   []Line
 	context []Line
 }
 
-// NewReport picks what concerns a request or program.
+// NewReport selects the lines that concern the request or program with an ID.
 func NewReport(lines []Line, id string) Report {
 	report := Report{id: id}
 	nodes := make(map[string]bool)
@@ -135,24 +136,24 @@
 		return report
 	}
 	from := report.begin().Add(-contextBefore)
-	till := report.lines[len(report.lines)-1].at.Add(contextAfter)
+	until := report.lines[len(report.lines)-1].at.Add(contextAfter)
 	for _, line := range lines {
-		if line.at.Before(from) || line.at.After(till) || line.Matches(id) {
+		if line.at.Before(from) || line.at.After(until) || line.Matches(id) {
 			continue
 		}
-		believed := slices.Contains(contextEvents, line.event)
-		ofEngine := slices.Contains(engineEvents, line.event) && nodes[line.node] && engines[line.text("engine")]
-		if believed || ofEngine {
+		isContext := slices.Contains(contextEvents, line.event)
+		isEngineChange := slices.Contains(engineEvents, line.event) && nodes[line.node] && engines[line.text("engine")]
+		if isContext || isEngineChange {
 			report.context = append(report.context, line)
 		}
 	}
 	sortByTime(report.context)
 	report.context = mergeContext(report.context, nodes)
-	report.context = report.context[:min(len(report.context), maximalContext)]
+	report.context = report.context[:min(len(report.context), maxContextLines)]
 	return report
 }
 
-// begin is when the first request began: lines are written at the end.
+// begin returns when the first request began. A request's line is written at its end and has its duration.
 func (r Report) begin() time.Time {
 	first := r.lines[0]
 	var millis int64
@@ -164,10 +165,10 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.at.Compare(b.at) })
 }
 
-// Found tells whether any line is about the request or program.
+// Found reports whether any line belongs to the request or program.
 func (r Report) Found() bool { return len(r.lines) > 0 }
 
-// Causes are the reasons of the requests that failed, each with what it means.
+// Causes explains the reason of each failed request, one text for each.
 func (r Report) Causes() []string {
 	var causes []string
 	for _, line := range r.lines {
@@ -181,16 +182,17 @@
 	return causes
 }
 
-// streamEnd tells how far a stream came that was cut; empty for other requests.
+// streamEnd describes how far a stream got before it was cut; it is empty for other requests.
 func (l Line) streamEnd() string {
-	way := l.text("stream")
-	if !strings.HasPrefix(way, "cut_") {
+	ending := l.text("stream")
+	if !strings.HasPrefix(ending, "cut_") {
 		return ""
 	}
-	return fmt.Sprintf("; its stream was %s after %s events, read from %s answers", way, l.text("events"), l.text("runs"))
+	return fmt.Sprintf("; its stream was %s after %s events, read from %s answers", ending, l.text("events"), l.text("runs"))
 }
 
-// Write prints the story: what was believed and done, in order of time, then the causes.
+// Write prints the lines and their context by time, then the causes of failures. Lines of the request or
+// program itself are marked with an asterisk.
 func (r Report) Write(output io.Writer) {
 	if !r.Found() {
 		fmt.Fprintf(output, "no line is about %s\n", r.id)
@@ -203,7 +205,7 @@
 		if line.Matches(r.id) {
 			mark = "*"
 		}
-		fmt.Fprintf(output, "%s %s %-22s %-24s %s\n", line.at.Format(reportTimeShape), mark, line.tellers(), line.name, line.details())
+		fmt.Fprintf(output, "%s %s %-22s %-24s %s\n", line.at.Format(reportTimeLayout), mark, line.nodes(), line.name, line.details())
 	}
 	for _, cause := range r.Causes() {
 		fmt.Fprintln(output, "cause: "+cause)
@@ -220,7 +222,7 @@
 	slices.Sort(names)
 	var parts []string
 	for _, name := range names {
-		parts = append(parts, name+"="+l.readable(name))
+		parts = append(parts, name+"="+l.format(name))
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,7 +18,7 @@
 {broken
 `
 
-func read(t *testing.T) []Line {
+func readSample(t *testing.T) []Line {
 	t.Helper()
 	lines, err := Read(strings.NewReader(sampleLog), "sample")
 	assert.NilError(t, err)
@@ -26,21 +26,21 @@
 	return lines
 }
 
-func TestStoryOfARequest(t *testing.T) {
-	report := NewReport(read(t), "r1")
+func TestReportOfARequest(t *testing.T) {
+	report := NewReport(readSample(t), "r1")
 	var text strings.Builder
 	report.Write(&text)
-	story := strings.Split(strings.TrimSpace(text.String()), "\n")
-	assert.Equal(t, len(story), 4, text.String())
-	assert.Assert(t, strings.Contains(story[0], "replica_log_failed"))
-	assert.Assert(t, strings.Contains(story[1], "engine_breaker_open") && strings.Contains(story[1], "g1"))
-	assert.Assert(t, strings.HasPrefix(story[2], "10:00:01.000 * g1"))
-	assert.Assert(t, strings.HasPrefix(story[3], "cause: request r1 at g1 ended as execution_unknown"))
-	assert.Assert(t, strings.Contains(story[3], "[reset]"))
+	printed := strings.Split(strings.TrimSpace(text.String()), "\n")
+	assert.Equal(t, len(printed), 4, text.String())
+	assert.Assert(t, strings.Contains(printed[0], "replica_log_failed"))
+	assert.Assert(t, strings.Contains(printed[1], "engine_breaker_open") && strings.Contains(printed[1], "g1"))
+	assert.Assert(t, strings.HasPrefix(printed[2], "10:00:01.000 * g1"))
+	assert.Assert(t, strings.HasPrefix(printed[3], "cause: request r1 at g1 ended as execution_unknown"))
+	assert.Assert(t, strings.Contains(printed[3], "[reset]"))
 }
 
-func TestStoryOfAProgram(t *testing.T) {
-	report := NewReport(read(t), "p")
+func TestReportOfAProgram(t *testing.T) {
+	report := NewReport(readSample(t), "p")
 	assert.Equal(t, len(report.lines), 2)
 	assert.Equal(t, len(report.Causes()), 1)
 }
@@ -52,17 +52,18 @@
 {"event":605,"name":"request_failed","node":"g1","request":"r1","reason":"turns_unavailable","millis":300,"time":"2026-01-01T10:00:01.000Z"}
 `
 
-// What a whole cluster tells of one change takes one line, that of the process which handled the request.
-func TestOneLineForWhatManyProcessesTell(t *testing.T) {
+// TestSameChangeTakesOneLine checks that a change reported by many processes takes one line, that of the
+// process that handled the request.
+func TestSameChangeTakesOneLine(t *testing.T) {
 	lines, err := Read(strings.NewReader(clusterLog), "cluster")
 	assert.NilError(t, err)
 	var text strings.Builder
 	NewReport(lines, "r1").Write(&text)
-	story := strings.Split(strings.TrimSpace(text.String()), "\n")
-	assert.Equal(t, len(story), 4, text.String())
-	assert.Assert(t, strings.Contains(story[0], "g1 +2") && strings.Contains(story[0], "members=s1,s2"), story[0])
-	assert.Assert(t, !strings.Contains(story[0], "next="), story[0])
-	assert.Assert(t, strings.Contains(story[1], "g3 ") && strings.Contains(story[1], "epoch=4"), story[1])
+	printed := strings.Split(strings.TrimSpace(text.String()), "\n")
+	assert.Equal(t, len(printed), 4, text.String())
+	assert.Assert(t, strings.Contains(printed[0], "g1 +2") && strings.Contains(printed[0], "members=s1,s2"), printed[0])
+	assert.Assert(t, !strings.Contains(printed[0], "next="), printed[0])
+	assert.Assert(t, strings.Contains(printed[1], "g3 ") && strings.Contains(printed[1], "epoch=4"), printed[1])
 }
 
 const streamLog = `{"event":514,"name":"attempt_retried","node":"g1","request":"r1","engine":"e1","outcome":"unknown","time":"2026-01-01T10:00:00.100Z"}
@@ -70,19 +71,19 @@
 {"event":605,"name":"request_failed","node":"g1","request":"r1","reason":"execution_unknown","outcome":"outcome_unknown","stream":"cut_by_engine","runs":2,"events":2,"last_event":"2","millis":300,"time":"2026-01-01T10:00:01.000Z"}
 `
 
-func TestStoryOfAStreamThatWasCut(t *testing.T) {
+func TestReportOfACutStream(t *testing.T) {
 	lines, err := Read(strings.NewReader(streamLog), "gateway")
 	assert.NilError(t, err)
 	var text strings.Builder
 	NewReport(lines, "r1").Write(&text)
-	story := strings.Split(strings.TrimSpace(text.String()), "\n")
-	assert.Equal(t, len(story), 4, text.String())
-	assert.Assert(t, strings.Contains(story[1], "stream_resumed") && strings.Contains(story[1], "status=500"), story[1])
-	assert.Assert(t, strings.Contains(story[3], "its stream was cut_by_engine after 2 events, read from 2 answers"), story[3])
+	printed := strings.Split(strings.TrimSpace(text.String()), "\n")
+	assert.Equal(t, len(printed), 4, text.String())
+	assert.Assert(t, strings.Contains(printed[1], "stream_resumed") && strings.Contains(printed[1], "status=500"), printed[1])
+	assert.Assert(t, strings.Contains(printed[3], "its stream was cut_by_engine after 2 events, read from 2 answers"), printed[3])
 }
 
 func TestUnknownRequest(t *testing.T) {
-	report := NewReport(read(t), "none")
+	report := NewReport(readSample(t), "none")
 	assert.Assert(t, !report.Found())
 	var text strings.Builder
 	report.Write(&text)
@@ -96,7 +97,7 @@
 		if err != nil {
 			return
 		}
-		var story strings.Builder
-		NewReport(lines, "r1").Write(&story)
+		var printed strings.Builder
+		NewReport(lines, "r1").Write(&printed)
 	})
 }
--- a/internal/explain/meaning.go
+++ b/internal/explain/meaning.go
@@ -2,7 +2,7 @@
 
 import "github.com/mountstile/mountstile/internal/apierr"
 
-// meanings say what a reason means and where to look next; docs/OPERATIONS.md tells more.
+// meanings explains each failure reason and where to look next. docs/OPERATIONS.md has the details.
 var meanings = map[apierr.Code]string{
 	apierr.StoreUnavailable: "the gateway had just started and knew no configuration yet",
 	apierr.NotFound:         "the configuration in force (version) has no route for host and path",
--- a/internal/explain/merge.go
+++ b/internal/explain/merge.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// mergeWithin is how far apart the lines of several processes may be that tell the same change.
-const mergeWithin = 2 * time.Second
+// mergeWindow is the longest time between lines that are taken to report the same change.
+const mergeWindow = 2 * time.Second
 
-// sameChange names what a change of belief is about, whoever tells it.
-type sameChange struct{ name, epoch, version, peer string }
+// changeKey identifies a state change, regardless of the process that reports it.
+type changeKey struct{ name, epoch, version, peer string }
 
-func changeOf(line Line) sameChange {
-	return sameChange{name: line.name, epoch: line.text("epoch"), version: line.text("version"), peer: line.text("peer")}
+func changeKeyOf(line Line) changeKey {
+	return changeKey{name: line.name, epoch: line.text("epoch"), version: line.text("version"), peer: line.text("peer")}
 }
 
-// mergeContext leaves one line for each change that several processes tell: that of a process which handled the
-// request, or else the first. The others are counted in it. Both rows are in order of time.
-func mergeContext(context []Line, handled map[string]bool) []Line {
+// mergeContext keeps one line for each change that several processes report: that of a process that handled the
+// request, or else the first. It counts the others in that line. context and the result are sorted by time.
+func mergeContext(context []Line, handlers map[string]bool) []Line {
 	var merged []Line
-	kept := make(map[sameChange]int)
+	indexes := make(map[changeKey]int)
 	for _, line := range context {
-		change := changeOf(line)
-		index, found := kept[change]
-		if !found || line.at.Sub(merged[index].at) > mergeWithin || (handled[line.node] && handled[merged[index].node]) {
-			kept[change] = len(merged)
+		change := changeKeyOf(line)
+		index, found := indexes[change]
+		if !found || line.at.Sub(merged[index].at) > mergeWindow || (handlers[line.node] && handlers[merged[index].node]) {
+			indexes[change] = len(merged)
 			merged = append(merged, line)
 			continue
 		}
 		others := merged[index].others + 1
-		if handled[line.node] {
+		if handlers[line.node] {
 			merged[index] = line
 		}
 		merged[index].others = others
@@ -40,8 +40,8 @@
 	return merged
 }
 
-// readable is a field's value; of a list of things that have names it gives the names.
-func (l Line) readable(field string) string {
+// format returns the value of a field; a list of objects with names is shortened to the names.
+func (l Line) format(field string) string {
 	var named []struct {
 		Name string `json:"name"`
 	}
@@ -49,14 +49,14 @@
 		return l.text(field)
 	}
 	var names []string
-	for _, thing := range named {
-		names = append(names, thing.Name)
+	for _, object := range named {
+		names = append(names, object.Name)
 	}
 	return strings.Join(names, ",")
 }
 
-// tellers is the node that tells a line, and how many further lines tell the same.
-func (l Line) tellers() string {
+// nodes returns the node of the line and, if there are any, how many more lines report the same change.
+func (l Line) nodes() string {
 	if l.others == 0 {
 		return l.node
 	}
