--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys makes and loads the certificates for mutual TLS between nodes. A certificate names
-// its cluster as its organization; a peer of another cluster gets nothing, even from the same
-// authority.
+// Package keys creates and loads the certificates for mutual TLS between nodes. A certificate names its
+// cluster as its organization; peers of another cluster are rejected even if the same authority signed their
+// certificate.
 package keys
 
 import (
@@ -20,27 +20,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// File names in a folder of keys.
+// File names in a folder of keys and certificates.
 const (
 	AuthorityFile    = "authority.pem"
 	AuthorityKeyFile = "authority-key.pem"
 	nodeSuffix       = ".pem"
 	nodeKeySuffix    = "-key.pem"
 
-	authorityLife = 10 * 365 * 24 * time.Hour
+	authorityValidity = 10 * 365 * 24 * time.Hour
 	// NodeValidity is how long a node's certificate is valid.
 	NodeValidity = 90 * 24 * time.Hour
-	clockLeeway  = time.Hour
-	serialBits   = 127
-	certificate  = "CERTIFICATE"
-	privateKey   = "PRIVATE KEY"
-	publicMode   = 0o644
-	privateMode  = 0o600
-	folderMode   = 0o700
-	reloadPeriod = 10 * time.Second
+	// clockSkew backdates certificates for nodes whose clocks are behind.
+	clockSkew        = time.Hour
+	serialBits       = 127
+	certificateBlock = "CERTIFICATE"
+	privateKeyBlock  = "PRIVATE KEY"
+	publicMode       = 0o644
+	privateMode      = 0o600
+	folderMode       = 0o700
+	reloadInterval   = 10 * time.Second
 )
 
-// ErrBadFile means that a file holds no usable key or certificate.
+// ErrBadFile means that a file has no usable key or certificate, or must not be replaced.
 type ErrBadFile struct {
 	Path   string
 	Reason string
@@ -49,45 +50,46 @@
 // Error implements error.
 func (e *ErrBadFile) Error() string { return e.Path + ": " + e.Reason }
 
-// ErrWrongCluster means that a peer's certificate is of another cluster.
+// ErrWrongCluster means that a peer has no certificate of the expected cluster.
 type ErrWrongCluster struct{ Cluster string }
 
 // Error implements error.
 func (e *ErrWrongCluster) Error() string {
-	return "the peer's certificate is not of cluster " + e.Cluster
+	return "the peer has no certificate of cluster " + e.Cluster
 }
 
 func newSerial() (*big.Int, error) {
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 }
 
-func template(cluster, name string, life time.Duration) (*x509.Certificate, error) {
+func newTemplate(cluster, name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := newSerial()
 	if err != nil {
-		return nil, errors.Wrap(err, "drawing a serial number")
+		return nil, errors.Wrap(err, "generating a serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{Organization: []string{cluster}, CommonName: name},
-		NotBefore:    now.Add(-clockLeeway),
-		NotAfter:     now.Add(life),
+		NotBefore:    now.Add(-clockSkew),
+		NotAfter:     now.Add(validity),
 	}, nil
 }
 
-// CreateAuthority writes a new authority for a cluster into folder. It never replaces one.
+// CreateAuthority creates a certificate authority for a cluster and writes it into folder. It fails if the
+// folder already has one.
 func CreateAuthority(folder, cluster string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "making the folder")
+		return errors.Wrap(err, "creating the folder")
 	}
 	if _, err := os.Stat(filepath.Join(folder, AuthorityKeyFile)); err == nil {
-		return &ErrBadFile{Path: filepath.Join(folder, AuthorityKeyFile), Reason: "exists already"}
+		return &ErrBadFile{Path: filepath.Join(folder, AuthorityKeyFile), Reason: "already exists"}
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "making a key")
+		return errors.Wrap(err, "generating a key")
 	}
-	authority, err := template(cluster, "authority", authorityLife)
+	authority, err := newTemplate(cluster, "authority", authorityValidity)
 	if err != nil {
 		return err
 	}
@@ -95,7 +97,7 @@
 	authority.KeyUsage = x509.KeyUsageCertSign
 	encoded, err := x509.CreateCertificate(rand.Reader, authority, authority, key.Public(), key)
 	if err != nil {
-		return errors.Wrap(err, "signing the authority")
+		return errors.Wrap(err, "signing the authority's certificate")
 	}
 	return writePair(filepath.Join(folder, AuthorityFile), filepath.Join(folder, AuthorityKeyFile), encoded, key)
 }
@@ -105,27 +107,27 @@
 	if err != nil {
 		return errors.Wrap(err, "encoding a key")
 	}
-	if err := os.WriteFile(keyPath, pem.EncodeToMemory(&pem.Block{Type: privateKey, Bytes: encodedKey}), privateMode); err != nil {
+	if err := os.WriteFile(keyPath, pem.EncodeToMemory(&pem.Block{Type: privateKeyBlock, Bytes: encodedKey}), privateMode); err != nil {
 		return errors.Wrap(err, "writing a key")
 	}
-	return errors.Wrap(os.WriteFile(certificatePath, pem.EncodeToMemory(&pem.Block{Type: certificate, Bytes: encoded}), publicMode), "writing a certificate")
+	return errors.Wrap(os.WriteFile(certificatePath, pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: encoded}), publicMode), "writing a certificate")
 }
 
-// CreateNodeCertificate writes a node's certificate and key into folder, signed by the authority there.
-func CreateNodeCertificate(folder, name string, life time.Duration) error {
+// CreateNodeCertificate writes a node's key and its certificate, signed by the authority in folder, into folder.
+func CreateNodeCertificate(folder, name string, validity time.Duration) error {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(folder, AuthorityFile), filepath.Join(folder, AuthorityKeyFile))
 	if err != nil {
 		return errors.Wrap(err, "loading the authority")
 	}
 	authority, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
-		return errors.Wrap(err, "parsing the authority")
+		return errors.Wrap(err, "parsing the authority's certificate")
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "making a key")
+		return errors.Wrap(err, "generating a key")
 	}
-	node, err := template(authority.Subject.Organization[0], name, life)
+	node, err := newTemplate(authority.Subject.Organization[0], name, validity)
 	if err != nil {
 		return err
 	}
@@ -133,20 +135,20 @@
 	node.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	encoded, err := x509.CreateCertificate(rand.Reader, node, authority, key.Public(), pair.PrivateKey)
 	if err != nil {
-		return errors.Wrap(err, "signing the node")
+		return errors.Wrap(err, "signing the node's certificate")
 	}
 	return writePair(filepath.Join(folder, name+nodeSuffix), filepath.Join(folder, name+nodeKeySuffix), encoded, key)
 }
 
-// Files names what a node needs.
+// Files are the paths of the files that a node needs for mutual TLS.
 type Files struct {
 	Authority   string
 	Certificate string
 	Key         string
 }
 
-// Source gives TLS the present certificates and reads the files again when they change. Both an
-// old and a new authority may stand in the authority file, so that they overlap.
+// Source provides TLS configurations whose certificates are reloaded when the files change. To rotate an
+// authority, the authority file can contain both the old and the new one.
 type Source struct {
 	files   Files
 	cluster string
@@ -154,11 +156,12 @@
 	mutex   sync.RWMutex
 	pair    *tls.Certificate
 	trusted *x509.CertPool
-	stamp   time.Time
-	checked time.Time
+	// modified is the newest modification time of the loaded files; checked is when it was last compared.
+	modified time.Time
+	checked  time.Time
 }
 
-// NewSource loads the files.
+// NewSource returns a Source with the certificates in files.
 func NewSource(files Files, cluster string) (*Source, error) {
 	source := &Source{files: files, cluster: cluster}
 	return source, source.load()
@@ -179,12 +182,12 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pair, s.trusted, s.stamp, s.checked = &pair, trusted, s.newest(), time.Now()
+	s.pair, s.trusted, s.modified, s.checked = &pair, trusted, s.lastModified(), time.Now()
 	return nil
 }
 
-// newest is the latest change of the files.
-func (s *Source) newest() time.Time {
+// lastModified returns the newest modification time of the files.
+func (s *Source) lastModified() time.Time {
 	var latest time.Time
 	for _, path := range []string{s.files.Authority, s.files.Certificate, s.files.Key} {
 		if info, err := os.Stat(path); err == nil && info.ModTime().After(latest) {
@@ -194,12 +197,12 @@
 	return latest
 }
 
-// Reload reads the files again if they have changed; it reports whether they were.
+// Reload loads the files if they have changed and reports whether they had.
 func (s *Source) Reload() (bool, error) {
 	s.mutex.RLock()
-	stamp := s.stamp
+	modified := s.modified
 	s.mutex.RUnlock()
-	if s.newest().Equal(stamp) {
+	if s.lastModified().Equal(modified) {
 		return false, nil
 	}
 	return true, s.load()
@@ -207,13 +210,13 @@
 
 func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
 	s.mutex.RLock()
-	due := time.Since(s.checked) > reloadPeriod
+	due := time.Since(s.checked) > reloadInterval
 	s.mutex.RUnlock()
 	if due {
 		s.mutex.Lock()
 		s.checked = time.Now()
 		s.mutex.Unlock()
-		// A half-written file keeps the old certificates in use; the next handshake tries again.
+		// If a file is only half written, the old certificates stay in use until a later check.
 		_, _ = s.Reload()
 	}
 	s.mutex.RLock()
@@ -221,7 +224,7 @@
 	return s.pair, s.trusted
 }
 
-// ServerConfig is for accepting connections of nodes.
+// ServerConfig returns the TLS configuration for accepting connections from nodes.
 func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -229,7 +232,7 @@
 			pair, trusted := s.current()
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13,
-				// A resumed session would skip the verification of the cluster.
+				// A resumed session would skip VerifyPeerCertificate, which checks the cluster.
 				SessionTicketsDisabled: true,
 				Certificates:           []tls.Certificate{*pair},
 				ClientAuth:             tls.RequireAndVerifyClientCert,
@@ -240,12 +243,12 @@
 	}
 }
 
-// ClientConfig is for dialling nodes. Nodes are known by address, so that not the name but the
-// chain and the cluster are verified.
+// ClientConfig returns the TLS configuration for connecting to nodes. Nodes are known by address and not
+// by name, so it verifies the chain and the cluster but not the host name.
 func (s *Source) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
-		InsecureSkipVerify: true, // VerifyPeerCertificate verifies the chain.
+		InsecureSkipVerify: true, // VerifyPeerCertificate verifies the chain instead.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			pair, _ := s.current()
 			return pair, nil
@@ -254,7 +257,7 @@
 	}
 }
 
-// verifyChain verifies a server's certificate as a client does, but for the host name.
+// verifyChain verifies a server's certificate like a TLS client, except for the host name.
 func (s *Source) verifyChain(raw [][]byte, chains [][]*x509.Certificate) error {
 	_, trusted := s.current()
 	if len(raw) == 0 {
