--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock lets code that waits run in real time or, in an experiment, in virtual time.
+// Package clock abstracts time, so that code that waits can run in real time or, in simulations, in virtual time.
 package clock
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits in real time until duration is over or the context ends.
+// Sleep waits in real time until duration has passed or ctx is done.
 func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -17,21 +17,21 @@
 	}
 }
 
-// Clock tells the time and makes what can be waited for.
+// Clock returns the time and creates signals.
 type Clock interface {
 	Now() time.Time
 	NewSignal() Signal
 }
 
-// Signal wakes at most one waiter, at most once.
+// Signal is a one-shot event with at most one waiter.
 type Signal interface {
-	// Fire wakes the waiter, or lets one that comes later pass at once. It never blocks.
+	// Fire wakes the waiter; later calls of Wait return at once. It never blocks, and may be called repeatedly.
 	Fire()
-	// Wait returns true once the signal has fired, and false when limit is over or the context ends.
+	// Wait returns true once the signal has fired, and false if limit passes or ctx is done before.
 	Wait(ctx context.Context, limit time.Duration) bool
 }
 
-// Real is the machine's clock.
+// Real is the system clock.
 type Real struct{}
 
 // Now implements Clock.
--- a/internal/clock/virtual.go
+++ b/internal/clock/virtual.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Virtual runs tasks one at a time, in a fixed order, and moves its time forward only when all of
-// them wait. A run with the same seeds is the same each time. Tasks may block only through Sleep,
-// signals and Parallel.
+// Virtual is a clock for deterministic simulations. It runs tasks one at a time in a fixed order, and its time
+// advances only when all tasks are waiting. Tasks must block only in Sleep, Parallel and the Wait of signals.
 type Virtual struct {
 	now     time.Time
 	ready   []*task
@@ -20,13 +19,13 @@
 
 type task struct {
 	resume chan struct{}
-	// wakeup is the timer that the task waits for; nil if it waits for none.
+	// wakeup is the timer that the task waits for, or nil.
 	wakeup *timer
 }
 
 type timer struct {
 	at time.Time
-	// order keeps timers of the same moment in the order in which they were set.
+	// order sorts timers for the same time by when they were set.
 	order     uint64
 	task      *task
 	cancelled bool
@@ -52,13 +51,13 @@
 	return item
 }
 
-// NewVirtual returns a clock that stands at start.
+// NewVirtual returns a Virtual whose time is start.
 func NewVirtual(start time.Time) *Virtual {
 	return &Virtual{now: start, yielded: make(chan struct{})}
 }
 
-// Run starts first as a task and returns when no task can go on any more: all have ended, or wait
-// for a signal that nobody is left to fire.
+// Run runs first as a task and returns when no task can continue: all have ended or wait for signals that no
+// task can fire any more.
 func (v *Virtual) Run(first func()) {
 	v.Go(first)
 	for v.next() {
@@ -67,7 +66,8 @@
 	}
 }
 
-// next picks the task that runs next, and moves the time if none is ready.
+// next makes the next ready task the current one. If none is ready, it advances the time to the next timer. It
+// returns false if there is no task to run.
 func (v *Virtual) next() bool {
 	for len(v.ready) == 0 {
 		if len(v.timers) == 0 {
@@ -86,7 +86,7 @@
 	return true
 }
 
-// Go starts a task.
+// Go starts a task, which first runs when the calling task waits or ends.
 func (v *Virtual) Go(run func()) {
 	started := &task{resume: make(chan struct{})}
 	v.ready = append(v.ready, started)
@@ -100,7 +100,7 @@
 // Now implements Clock.
 func (v *Virtual) Now() time.Time { return v.now }
 
-// Sleep lets the calling task wait.
+// Sleep suspends the calling task for duration.
 func (v *Virtual) Sleep(duration time.Duration) {
 	v.setTimer(v.current, duration)
 	v.yield(v.current)
@@ -142,7 +142,7 @@
 	s.waiter = nil
 }
 
-// Wait ignores the context: whoever ends a virtual run ends all of it.
+// Wait ignores the context: the tasks of a virtual run can't be cancelled one by one.
 func (s *virtualSignal) Wait(_ context.Context, limit time.Duration) bool {
 	if s.fired {
 		return true
@@ -154,21 +154,21 @@
 	return s.fired
 }
 
-// Forever is longer than any run.
+// Forever is a time limit longer than any virtual run.
 const Forever = 1000 * time.Hour
 
-// Parallel runs tasks beside each other and waits for all.
+// Parallel runs each function as a task and waits until all have returned.
 func (v *Virtual) Parallel(runs ...func()) {
 	if len(runs) == 0 {
 		return
 	}
-	left := len(runs)
+	remaining := len(runs)
 	done := v.NewSignal()
 	for _, run := range runs {
 		v.Go(func() {
 			run()
-			left--
-			if left == 0 {
+			remaining--
+			if remaining == 0 {
 				done.Fire()
 			}
 		})
--- a/internal/clock/virtual_test.go
+++ b/internal/clock/virtual_test.go
@@ -11,34 +11,33 @@
 
 var origin = time.Unix(1000, 0)
 
-// TestVirtualOrder: tasks run in the order of their wake-ups, and the time moves only between them.
+// TestVirtualOrder checks that tasks run in the order of their timers and signals, at the expected times.
 func TestVirtualOrder(t *testing.T) {
 	virtual := NewVirtual(origin)
 	var log []string
-	note := func(what string) { log = append(log, fmt.Sprintf("%s at %s", what, virtual.Now().Sub(origin))) }
+	record := func(event string) { log = append(log, fmt.Sprintf("%s at %s", event, virtual.Now().Sub(origin))) }
 	virtual.Run(func() {
 		signal := virtual.NewSignal()
 		virtual.Go(func() {
 			virtual.Sleep(2 * time.Second)
-			note("fire")
+			record("fire")
 			signal.Fire()
 			signal.Fire()
 		})
 		virtual.Parallel(
-			func() { virtual.Sleep(3 * time.Second); note("slow") },
-			func() { virtual.Sleep(time.Second); note("fast") },
-			func() { assert.Check(t, signal.Wait(context.Background(), time.Minute)); note("woken") },
+			func() { virtual.Sleep(3 * time.Second); record("slow") },
+			func() { virtual.Sleep(time.Second); record("fast") },
+			func() { assert.Check(t, signal.Wait(context.Background(), time.Minute)); record("woken") },
 		)
-		note("all done")
-		assert.Check(t, signal.Wait(context.Background(), time.Second), "a late waiter passes at once")
+		record("all done")
+		assert.Check(t, signal.Wait(context.Background(), time.Second), "a wait after Fire must return true")
 		assert.Check(t, !virtual.NewSignal().Wait(context.Background(), time.Second))
-		note("gave up")
+		record("gave up")
 	})
 	assert.DeepEqual(t, log, []string{"fast at 1s", "fire at 2s", "woken at 2s", "slow at 3s", "all done at 3s", "gave up at 4s"})
 }
 
-// TestVirtualEnds though a task waits for a signal that nobody fires, and though signals that fired
-// in time leave their timers behind.
+// TestVirtualEnds checks that the cancelled timer of a signal that fired does not advance the time.
 func TestVirtualEnds(t *testing.T) {
 	virtual := NewVirtual(origin)
 	reached := false
@@ -49,10 +48,11 @@
 		reached = true
 	})
 	assert.Assert(t, reached)
-	assert.Equal(t, virtual.Now(), origin, "a cancelled timer does not move the time")
+	assert.Equal(t, virtual.Now(), origin, "a cancelled timer must not advance the time")
 }
 
-// TestRealSignal wakes, passes late waiters, and gives up.
+// TestRealSignal checks that Wait returns true after Fire, before and after waiting, and false once the context
+// is cancelled.
 func TestRealSignal(t *testing.T) {
 	signal := Real{}.NewSignal()
 	go signal.Fire()
