--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the administration API: resources, status, drain, programs, decisions and
-// history. docs/API.md and docs/openapi.yaml document it.
+// Package admin implements the administration API: resources and their history, status, draining, programs
+// and scheduling decisions. docs/API.md and docs/openapi.yaml document it.
 package admin
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// Prefix starts all paths of the API.
+// Prefix is the prefix of all paths of the API.
 const Prefix = "/admin/v1"
 
 const (
@@ -38,12 +38,13 @@
 	defaultHistory    = 20
 	maxHistory        = 500
 	publishTimeout    = 20 * time.Second
-	// HeaderBaseRevision names the revision that a change is based on; HeaderChangeID identifies the change.
+	// HeaderBaseRevision is the revision that a change is based on. HeaderChangeID identifies the change, so that
+	// it can be retried safely.
 	HeaderBaseRevision = "Mountstile-Base-Revision"
 	HeaderChangeID     = "Mountstile-Change-Id"
 )
 
-// PlatformTenant is the first part of the platform administrators' keys.
+// PlatformTenant is the tenant in the API keys of platform administrators; no Tenant may have this name.
 const PlatformTenant = "platform"
 
 // Options configure a Server.
@@ -54,11 +55,11 @@
 	Host        *replica.Host
 	Coordinator *coordinator.Client
 	Transport   *transport.Transport
-	// Models tells which engine has which model.
+	// Models is the node's view of which engine has which model.
 	Models *modelload.View
-	// Keys are the platform's own, from the settings file.
+	// Keys are the platform administrators' keys, from the settings file.
 	Keys []resource.APIKey
-	// LocalStatus describes this node; Drain begins its planned stop.
+	// LocalStatus returns the status of this node; Drain begins its planned stop.
 	LocalStatus func() NodeStatus
 	Drain       func()
 	Logger      *events.Logger
@@ -71,34 +72,34 @@
 	limiter *rate.Limiter
 }
 
-// Route is one operation of the API.
+// Route is the method and path of an operation.
 type Route struct {
 	Method string
 	Path   string
 }
 
-// Routes lists the API's operations; a test holds docs/openapi.yaml to it.
+// Routes returns the routes of all operations; a test compares them with docs/openapi.yaml.
 func (s *Server) Routes() []Route {
 	var routes []Route
-	for _, item := range s.table() {
+	for _, item := range s.operations() {
 		routes = append(routes, Route{Method: item.method, Path: item.path})
 	}
 	return routes
 }
 
-type handler func(ctx context.Context, who identity, r *http.Request) (any, error)
+type handler func(ctx context.Context, sender identity, r *http.Request) (any, error)
 
 type operation struct {
 	method string
 	path   string
-	// changes tells that reading is not enough.
+	// changes is set if the operation requires the operator role.
 	changes bool
-	// platform tells that only the platform's own keys will do.
+	// platform is set if the operation requires one of the platform's keys.
 	platform bool
 	serve    handler
 }
 
-func (s *Server) table() []operation {
+func (s *Server) operations() []operation {
 	return []operation{
 		{http.MethodGet, "/status", false, true, s.getStatus},
 		{http.MethodGet, "/partitions", false, true, s.getPartitions},
@@ -119,10 +120,10 @@
 	}
 }
 
-// New returns a Server and registers its messages between nodes.
+// New returns a Server and registers its handlers for messages from other nodes.
 func New(options Options) *Server {
 	server := &Server{options: options, mux: http.NewServeMux(), limiter: rate.NewLimiter(requestsPerSecond, requestBurst)}
-	for _, item := range server.table() {
+	for _, item := range server.operations() {
 		server.mux.HandleFunc(item.method+" "+Prefix+item.path, server.wrap(item))
 	}
 	server.registerMessages()
@@ -132,9 +133,9 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// identity is who sent a request.
+// identity is the authenticated sender of a request.
 type identity struct {
-	// name is for the audit log; tenant is empty for the platform's own keys.
+	// name is written to the audit log; tenant is empty for the platform's keys.
 	name   string
 	tenant string
 	role   resource.Role
@@ -142,29 +143,29 @@
 
 func (i identity) platform() bool { return i.tenant == "" }
 
-// wrap limits, authenticates and authorizes before it serves.
+// wrap returns a handler that applies the rate limit, authenticates and authorizes before it serves item.
 func (s *Server) wrap(item operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		if !s.limiter.Allow() {
-			writeFailure(w, apierr.New(apierr.LimitExceeded, apierr.NotRun, "too many administration requests").WithRetryAfter(time.Second))
+			writeError(w, apierr.New(apierr.LimitExceeded, apierr.NotRun, "too many administration requests").WithRetryAfter(time.Second))
 			return
 		}
-		who, err := s.authenticate(r)
+		sender, err := s.authenticate(r)
 		if err == nil {
-			err = authorize(who, item)
+			err = authorize(sender, item)
 		}
 		if err != nil {
 			s.options.Logger.Emit(events.AdminDenied, events.F("path", r.URL.Path), events.F("error", err))
-			writeFailure(w, err)
+			writeError(w, err)
 			return
 		}
-		answer, err := item.serve(r.Context(), who, r)
+		result, err := item.serve(r.Context(), sender, r)
 		if err != nil {
-			writeFailure(w, err)
+			writeError(w, err)
 			return
 		}
-		writeJSON(w, answer)
+		writeJSON(w, result)
 	}
 }
 
@@ -191,21 +192,21 @@
 	return identity{name: name + "." + parts[1], tenant: name, role: role}, nil
 }
 
-func authorize(who identity, item operation) error {
+func authorize(sender identity, item operation) error {
 	switch {
-	case who.role == resource.RoleCaller:
+	case sender.role == resource.RoleCaller:
 		return apierr.New(apierr.Forbidden, apierr.NotRun, "this key may only send calls")
-	case item.platform && !who.platform():
+	case item.platform && !sender.platform():
 		return apierr.New(apierr.Forbidden, apierr.NotRun, "only platform administrators and readers may do this")
-	case item.changes && who.role != resource.RoleOperator:
+	case item.changes && sender.role != resource.RoleOperator:
 		return apierr.New(apierr.Forbidden, apierr.NotRun, "this key may only read")
 	}
 	return nil
 }
 
-// mayTouch reports whether a tenant's operator may see or change a resource. A tenant's resources
-// carry its name, or begin with it and a '-'. Tenants and limits are the platform's.
-func (i identity) mayTouch(key resource.Key) bool {
+// mayAccess reports whether a resource belongs to the sender's tenant. The name of a tenant's resource is the
+// tenant's name, or begins with it and a '-'. Only the platform's keys may access tenants and limits.
+func (i identity) mayAccess(key resource.Key) bool {
 	if i.platform() {
 		return true
 	}
@@ -215,15 +216,15 @@
 	return key.Name == i.tenant || strings.HasPrefix(key.Name, i.tenant+"-")
 }
 
-// checkContent keeps a tenant's services to itself.
-func (i identity) checkContent(item resource.Resource) error {
+// checkReferences rejects a tenant's service that serves other tenants or uses their pools or policies.
+func (i identity) checkReferences(item resource.Resource) error {
 	if i.platform() || item.Service == nil {
 		return nil
 	}
 	service := item.Service
 	for _, tenant := range service.Tenants {
 		if tenant != i.tenant {
-			return apierr.New(apierr.Forbidden, apierr.NotRun, "service %s may serve tenant %s only", item.Name, i.tenant)
+			return apierr.New(apierr.Forbidden, apierr.NotRun, "service %s may only serve tenant %s", item.Name, i.tenant)
 		}
 	}
 	references := []resource.Key{{Kind: resource.KindPool, Name: service.Pool}}
@@ -231,19 +232,19 @@
 		references = append(references, resource.Key{Kind: resource.KindPolicy, Name: service.Policy})
 	}
 	for _, key := range references {
-		if !i.mayTouch(key) {
-			return apierr.New(apierr.Forbidden, apierr.NotRun, "service %s refers to %s %s, which is not the tenant's", item.Name, key.Kind, key.Name)
+		if !i.mayAccess(key) {
+			return apierr.New(apierr.Forbidden, apierr.NotRun, "service %s refers to %s %s, which does not belong to the tenant", item.Name, key.Kind, key.Name)
 		}
 	}
 	return nil
 }
 
-type failureBody struct {
+type errorBody struct {
 	Error *apierr.Error `json:"error"`
 }
 
-// typed gives a failure its code: what operators wrote wrongly is theirs to mend.
-func typed(err error) *apierr.Error {
+// toAPIError converts an error for the response; a *resource.FieldError becomes an invalid request.
+func toAPIError(err error) *apierr.Error {
 	var field *resource.FieldError
 	if errors.As(err, &field) {
 		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "%s", field).WithField(field.Field)
@@ -251,14 +252,14 @@
 	return apierr.From(err, apierr.OutcomeUnknown)
 }
 
-func writeFailure(w http.ResponseWriter, err error) {
-	failure := typed(err)
+func writeError(w http.ResponseWriter, err error) {
+	failure := toAPIError(err)
 	w.Header().Set("Content-Type", "application/json")
 	if failure.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((failure.RetryAfter+999)/1000, 10))
 	}
 	w.WriteHeader(failure.HTTPStatus())
-	_ = json.NewEncoder(w).Encode(failureBody{Error: failure})
+	_ = json.NewEncoder(w).Encode(errorBody{Error: failure})
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
@@ -269,7 +270,7 @@
 func readAll(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return nil, apierr.New(apierr.BodyTooLarge, apierr.NotRun, "the body can't be read: %s", err)
+		return nil, apierr.New(apierr.BodyTooLarge, apierr.NotRun, "reading the request body: %s", err)
 	}
 	return body, nil
 }
--- a/internal/admin/cluster.go
+++ b/internal/admin/cluster.go
@@ -21,11 +21,11 @@
 	statusKind    = "node_status"
 	drainKind     = "node_drain"
 	statusTimeout = 3 * time.Second
-	// statusParallel bounds how many nodes are asked at once.
-	statusParallel = 32
+	// maxStatusCalls limits the concurrent status requests to nodes.
+	maxStatusCalls = 32
 )
 
-// NodeStatus is what a node says of itself.
+// NodeStatus is a node's status, as the node reports it.
 type NodeStatus struct {
 	ID       string `json:"id"`
 	Name     string `json:"name"`
@@ -34,29 +34,31 @@
 	Version  string `json:"version"`
 	Revision uint64 `json:"revision"`
 	Ready    bool   `json:"ready"`
-	// Active counts callers' requests under way; Replicas and Leads count partitions.
+	// Active is the number of calls in progress. Replicas and Leads are the numbers of partitions that the node
+	// holds and leads.
 	Active   int64 `json:"active"`
 	Replicas int   `json:"replicas"`
 	Leads    int   `json:"leads"`
-	// Unrepaired counts the partitions led here that would not survive the loss of a node: a voter is
-	// lost, or its replacement does not vote yet.
+	// Unrepaired is the number of partitions led by the node that would not survive the loss of another node,
+	// because a voter is lost or its replacement does not vote yet.
 	Unrepaired int `json:"unrepaired"`
 	Programs   int `json:"programs"`
 }
 
-// MemberStatus is a member as this node sees it, with its own word if it answered.
+// MemberStatus is a member as the serving node sees it, with the status that the member reported or the error
+// of the request for it.
 type MemberStatus struct {
 	Member membership.Member `json:"member"`
 	Node   *NodeStatus       `json:"node,omitempty"`
 	Error  *apierr.Error     `json:"error,omitempty"`
 }
 
-// ClusterStatus is the answer to status.
+// ClusterStatus is the response to GET /status.
 type ClusterStatus struct {
-	// Revision is the newest revision that any node has in force.
+	// Revision is the newest revision in force on any node.
 	Revision uint64         `json:"revision"`
 	Members  []MemberStatus `json:"members"`
-	// Lagging names the live nodes that do not have it yet, or did not answer.
+	// Lagging lists the IDs of live nodes that have an older revision in force or did not respond.
 	Lagging []string `json:"lagging"`
 }
 
@@ -76,7 +78,7 @@
 	members := s.options.Membership.View().All()
 	status := ClusterStatus{Members: make([]MemberStatus, len(members)), Lagging: []string{}}
 	var tasks sync.WaitGroup
-	slots := make(chan struct{}, statusParallel)
+	slots := make(chan struct{}, maxStatusCalls)
 	for index, member := range members {
 		status.Members[index].Member = member
 		if !member.Usable() {
@@ -85,7 +87,7 @@
 		slots <- struct{}{}
 		tasks.Go(func() {
 			defer func() { <-slots }()
-			s.askStatus(ctx, &status.Members[index])
+			s.fetchStatus(ctx, &status.Members[index])
 		})
 	}
 	tasks.Wait()
@@ -93,7 +95,7 @@
 	return status, nil
 }
 
-func (s *Server) askStatus(ctx context.Context, target *MemberStatus) {
+func (s *Server) fetchStatus(ctx context.Context, target *MemberStatus) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	node, err := transport.Call[NodeStatus](ctx, s.options.Transport, target.Member.Address, statusKind, empty{})
@@ -102,7 +104,7 @@
 		return
 	}
 	if node.ID != target.Member.ID {
-		target.Error = apierr.New(apierr.PeerUnreachable, apierr.NotRun, "another run of the node, %s, answers at its address", node.ID)
+		target.Error = apierr.New(apierr.PeerUnreachable, apierr.NotRun, "the address of the member is now used by node %s", node.ID)
 		return
 	}
 	target.Node = &node
@@ -121,7 +123,7 @@
 	}
 }
 
-// PartitionList is the placement of program state.
+// PartitionList is the placement of the partitions, which hold program state.
 type PartitionList struct {
 	Partitions []partition.Placement `json:"partitions"`
 }
@@ -130,42 +132,43 @@
 	return PartitionList{Partitions: s.options.Partitions.All()}, nil
 }
 
-func (s *Server) drainNode(ctx context.Context, who identity, r *http.Request) (any, error) {
-	wanted := r.PathValue("node")
+func (s *Server) drainNode(ctx context.Context, sender identity, r *http.Request) (any, error) {
+	target := r.PathValue("node")
 	view := s.options.Membership.View()
-	index := slices.IndexFunc(view.Usable(), func(member membership.Member) bool { return member.ID == wanted || member.Name == wanted })
+	index := slices.IndexFunc(view.Usable(), func(member membership.Member) bool { return member.ID == target || member.Name == target })
 	if index < 0 {
-		return nil, apierr.New(apierr.NotFound, apierr.NotRun, "there is no live node %q", wanted)
+		return nil, apierr.New(apierr.NotFound, apierr.NotRun, "there is no live node %q", target)
 	}
 	member := view.Usable()[index]
-	s.options.Logger.Emit(events.DrainRequested, events.F("target", member.ID), events.F("author", who.name))
+	s.options.Logger.Emit(events.DrainRequested, events.F("target", member.ID), events.F("author", sender.name))
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	_, err := transport.Call[empty](ctx, s.options.Transport, member.Address, drainKind, empty{})
 	return member, err
 }
 
-// ProgramList is the programs of a tenant, or of all.
+// ProgramList lists the programs of one tenant or of all tenants.
 type ProgramList struct {
 	Programs []program.Summary `json:"programs"`
-	// Silent names nodes that did not answer; what they lead is missing.
+	// Silent lists nodes that did not respond; the programs in the partitions that they lead are missing.
 	Silent []string `json:"silent"`
 }
 
-func (s *Server) listPrograms(ctx context.Context, who identity, r *http.Request) (any, error) {
+func (s *Server) listPrograms(ctx context.Context, sender identity, r *http.Request) (any, error) {
 	tenant := r.URL.Query().Get("tenant")
-	if !who.platform() {
-		tenant = who.tenant
+	if !sender.platform() {
+		tenant = sender.tenant
 	}
 	programs, silent := s.options.Coordinator.List(ctx, tenant)
 	return ProgramList{Programs: programs, Silent: silent}, nil
 }
 
-// locate finds a program's partition; others' programs look as if absent.
-func (s *Server) locate(who identity, r *http.Request) (uint32, program.Key, error) {
+// locateProgram returns the partition and key of a program. Programs of other tenants are reported as not
+// found.
+func (s *Server) locateProgram(sender identity, r *http.Request) (uint32, program.Key, error) {
 	key := program.Key{Tenant: r.PathValue("tenant"), Path: r.PathValue("path")}
 	tenant, known := s.options.Config.Current().Set.Tenant(key.Tenant)
-	if !known || !who.platform() && who.tenant != key.Tenant {
+	if !known || !sender.platform() && sender.tenant != key.Tenant {
 		return 0, key, apierr.New(apierr.NotFound, apierr.NotRun, "there is no program %q of tenant %q", key.Path, key.Tenant)
 	}
 	root, _, _ := strings.Cut(key.Path, "/")
@@ -173,16 +176,16 @@
 	return id, key, err
 }
 
-func (s *Server) getProgram(ctx context.Context, who identity, r *http.Request) (any, error) {
-	id, key, err := s.locate(who, r)
+func (s *Server) getProgram(ctx context.Context, sender identity, r *http.Request) (any, error) {
+	id, key, err := s.locateProgram(sender, r)
 	if err != nil {
 		return nil, err
 	}
 	return s.options.Coordinator.Program(ctx, coordinator.ProgramRequest{Partition: id, Program: key})
 }
 
-func (s *Server) endProgram(ctx context.Context, who identity, r *http.Request) (any, error) {
-	id, key, err := s.locate(who, r)
+func (s *Server) endProgram(ctx context.Context, sender identity, r *http.Request) (any, error) {
+	id, key, err := s.locateProgram(sender, r)
 	if err != nil {
 		return nil, err
 	}
@@ -194,7 +197,7 @@
 	return response.Decision, err
 }
 
-// NodesBehind names the live nodes on which a revision is not known to be in force.
+// NodesBehind returns the IDs of live nodes on which the revision, or a newer one, is not known to be in force.
 func (c ClusterStatus) NodesBehind(revision uint64) []string {
 	var behind []string
 	for _, member := range c.Members {
--- a/internal/admin/models.go
+++ b/internal/admin/models.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// EngineModel is an engine of a pool whose engines load models.
+// EngineModel is an engine of a loading pool and its model.
 type EngineModel struct {
 	Pool   string `json:"pool"`
 	Engine string `json:"engine"`
-	// Model is empty while the engine loads, or before it gets its first order.
+	// Model is empty while the engine loads, and until it is first ordered to load a model.
 	Model string `json:"model,omitempty"`
 }
 
-// ModelList is which engine has which model, as this node knows it.
+// ModelList lists the engines of loading pools with their models, as the serving node knows them.
 type ModelList struct {
 	Engines []EngineModel `json:"engines"`
 }
--- a/internal/admin/openapi_test.go
+++ b/internal/admin/openapi_test.go
@@ -13,7 +13,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// TestOpenAPIFileMatchesTheHandlers compares docs/openapi.yaml with the table of operations.
+// TestOpenAPIFileMatchesTheHandlers checks that docs/openapi.yaml documents the served operations and no others.
 func TestOpenAPIFileMatchesTheHandlers(t *testing.T) {
 	content, err := os.ReadFile("../../docs/openapi.yaml")
 	assert.NilError(t, err)
@@ -40,7 +40,7 @@
 	changing := operation{changes: true}
 	platform := operation{platform: true}
 	cases := map[string]struct {
-		who     identity
+		sender  identity
 		what    operation
 		allowed bool
 	}{
@@ -53,28 +53,29 @@
 	}
 	for name, item := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := authorize(item.who, item.what)
+			err := authorize(item.sender, item.what)
 			assert.Equal(t, err == nil, item.allowed)
 			assert.Assert(t, err == nil || apierr.Is(err, apierr.Forbidden))
 		})
 	}
 }
 
-// TestTenantOperatorStaysAtHome: names that only look like the tenant's are not.
-func TestTenantOperatorStaysAtHome(t *testing.T) {
-	who := identity{tenant: "ann", role: resource.RoleOperator}
+// TestTenantOperatorAccess checks that a tenant's operator can't reach other tenants' resources, also if their
+// names begin with the same letters.
+func TestTenantOperatorAccess(t *testing.T) {
+	sender := identity{tenant: "ann", role: resource.RoleOperator}
 	own := []resource.Key{{Kind: resource.KindPool, Name: "ann"}, {Kind: resource.KindService, Name: "ann-tutor"}}
 	others := []resource.Key{{Kind: resource.KindPool, Name: "anna-pool"}, {Kind: resource.KindTenant, Name: "ann"}, {Kind: resource.KindLimit, Name: "ann-limit"}, {Kind: resource.KindPolicy, Name: "bob"}}
 	for _, key := range own {
-		assert.Assert(t, who.mayTouch(key), "%v", key)
+		assert.Assert(t, sender.mayAccess(key), "%v", key)
 	}
 	for _, key := range others {
-		assert.Assert(t, !who.mayTouch(key), "%v", key)
+		assert.Assert(t, !sender.mayAccess(key), "%v", key)
 	}
 	service := func(service resource.Service) error {
-		return who.checkContent(resource.Resource{Kind: resource.KindService, Name: "ann-x", Service: &service})
+		return sender.checkReferences(resource.Resource{Kind: resource.KindService, Name: "ann-x", Service: &service})
 	}
 	assert.NilError(t, service(resource.Service{Pool: "ann-pool", Tenants: []string{"ann"}}))
-	assert.ErrorContains(t, service(resource.Service{Pool: "ann-pool", Tenants: []string{"ann", "bob"}}), "may serve tenant ann only")
-	assert.ErrorContains(t, service(resource.Service{Pool: "bob-pool", Tenants: []string{"ann"}}), "not the tenant's")
+	assert.ErrorContains(t, service(resource.Service{Pool: "ann-pool", Tenants: []string{"ann", "bob"}}), "may only serve tenant ann")
+	assert.ErrorContains(t, service(resource.Service{Pool: "bob-pool", Tenants: []string{"ann"}}), "which does not belong to the tenant")
 }
--- a/internal/admin/resources.go
+++ b/internal/admin/resources.go
@@ -13,38 +13,38 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// ResourceList is a part of a revision.
+// ResourceList lists resources of the revision in force.
 type ResourceList struct {
 	Revision  uint64              `json:"revision"`
 	Resources []resource.Resource `json:"resources"`
 }
 
-// ApplyResult tells which revision holds a change.
+// ApplyResult is the revision that a change was published as, and the changed resources.
 type ApplyResult struct {
 	Revision uint64         `json:"revision"`
 	ChangeID string         `json:"change_id"`
 	Changed  []resource.Key `json:"changed"`
 }
 
-// Difference is how one resource would change, or has changed.
+// Difference is a resource before and after a change; Before is nil for a new resource.
 type Difference struct {
 	Key    resource.Key       `json:"key"`
 	Before *resource.Resource `json:"before,omitempty"`
 	After  *resource.Resource `json:"after,omitempty"`
 }
 
-// DiffResult lists the differences to the revision in force.
+// DiffResult lists how resources differ from the revision in force.
 type DiffResult struct {
 	Revision    uint64       `json:"revision"`
 	Differences []Difference `json:"differences"`
 }
 
-func (s *Server) listResources(_ context.Context, who identity, r *http.Request) (any, error) {
+func (s *Server) listResources(_ context.Context, sender identity, r *http.Request) (any, error) {
 	snapshot := s.options.Config.Current()
 	list := ResourceList{Revision: snapshot.Revision(), Resources: []resource.Resource{}}
 	kind := resource.Kind(r.URL.Query().Get("kind"))
 	for _, item := range snapshot.Set.List() {
-		if (kind == "" || item.Kind == kind) && who.mayTouch(item.Key()) {
+		if (kind == "" || item.Kind == kind) && sender.mayAccess(item.Key()) {
 			list.Resources = append(list.Resources, item)
 		}
 	}
@@ -59,21 +59,21 @@
 	return apierr.New(apierr.NotFound, apierr.NotRun, "there is no %s %q", key.Kind, key.Name)
 }
 
-func (s *Server) getResource(_ context.Context, who identity, r *http.Request) (any, error) {
+func (s *Server) getResource(_ context.Context, sender identity, r *http.Request) (any, error) {
 	key := pathKey(r)
 	found, exists := s.options.Config.Current().Set.Get(key)
-	if !exists || !who.mayTouch(key) {
+	if !exists || !sender.mayAccess(key) {
 		return nil, notFound(key)
 	}
 	return found, nil
 }
 
-func (s *Server) deleteResource(ctx context.Context, who identity, r *http.Request) (any, error) {
+func (s *Server) deleteResource(ctx context.Context, sender identity, r *http.Request) (any, error) {
 	key := pathKey(r)
-	if _, exists := s.options.Config.Current().Set.Get(key); !exists || !who.mayTouch(key) {
+	if _, exists := s.options.Config.Current().Set.Get(key); !exists || !sender.mayAccess(key) {
 		return nil, notFound(key)
 	}
-	change, err := newChange(r, who)
+	change, err := newChange(r, sender)
 	if err != nil {
 		return nil, err
 	}
@@ -81,9 +81,9 @@
 	return s.publish(ctx, change)
 }
 
-// newChange reads what all changes have in common.
-func newChange(r *http.Request, who identity) (configuration.Change, error) {
-	change := configuration.Change{ChangeID: r.Header.Get(HeaderChangeID), Author: who.name}
+// newChange returns a change with the author, and with the ID and base revision from the request's headers.
+func newChange(r *http.Request, sender identity) (configuration.Change, error) {
+	change := configuration.Change{ChangeID: r.Header.Get(HeaderChangeID), Author: sender.name}
 	if change.ChangeID == "" {
 		change.ChangeID = newChangeID()
 	}
@@ -112,8 +112,8 @@
 	return result, nil
 }
 
-// readResources decodes the YAML of a request.
-func readResources(r *http.Request, who identity) ([]resource.Resource, error) {
+// readResources decodes the YAML of a request and checks that the sender may publish each resource.
+func readResources(r *http.Request, sender identity) ([]resource.Resource, error) {
 	body, err := readAll(r)
 	if err != nil {
 		return nil, err
@@ -123,35 +123,35 @@
 		return nil, err
 	}
 	if len(resources) == 0 {
-		return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "the request holds no resource")
+		return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "the request contains no resource")
 	}
 	for _, item := range resources {
 		if item.Kind == resource.KindTenant && item.Name == PlatformTenant {
 			return nil, apierr.New(apierr.Forbidden, apierr.NotRun, "the name %q is reserved", PlatformTenant)
 		}
-		if !who.mayTouch(item.Key()) {
-			return nil, apierr.New(apierr.Forbidden, apierr.NotRun, "%s %s is not the tenant's: its resources begin with its name", item.Kind, item.Name)
+		if !sender.mayAccess(item.Key()) {
+			return nil, apierr.New(apierr.Forbidden, apierr.NotRun, "%s %s does not belong to the tenant: the name must begin with the tenant's name", item.Kind, item.Name)
 		}
-		if err := who.checkContent(item); err != nil {
+		if err := sender.checkReferences(item); err != nil {
 			return nil, err
 		}
 	}
 	return resources, nil
 }
 
-func (s *Server) apply(ctx context.Context, who identity, r *http.Request) (any, error) {
-	change, err := newChange(r, who)
+func (s *Server) apply(ctx context.Context, sender identity, r *http.Request) (any, error) {
+	change, err := newChange(r, sender)
 	if err != nil {
 		return nil, err
 	}
-	if change.Upserts, err = readResources(r, who); err != nil {
+	if change.Upserts, err = readResources(r, sender); err != nil {
 		return nil, err
 	}
 	return s.publish(ctx, change)
 }
 
-func (s *Server) diff(_ context.Context, who identity, r *http.Request) (any, error) {
-	resources, err := readResources(r, who)
+func (s *Server) diff(_ context.Context, sender identity, r *http.Request) (any, error) {
+	resources, err := readResources(r, sender)
 	if err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 	return result, nil
 }
 
-// sameContent compares resources without their revisions.
+// sameContent reports whether resources are equal apart from their revisions.
 func sameContent(a, b resource.Resource) bool {
 	a.Revision, b.Revision = 0, 0
 	first, errA := json.Marshal(a)
@@ -189,7 +189,7 @@
 	if text := r.URL.Query().Get("count"); text != "" {
 		parsed, err := strconv.Atoi(text)
 		if err != nil || parsed < 1 || parsed > maxHistory {
-			return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "count is from 1 to %d", maxHistory).WithField("count")
+			return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "count must be from 1 to %d", maxHistory).WithField("count")
 		}
 		count = parsed
 	}
@@ -197,8 +197,8 @@
 	return HistoryList{Revisions: documents}, err
 }
 
-// restore rolls forward to the content of an earlier revision: it becomes a new revision.
-func (s *Server) restore(ctx context.Context, who identity, r *http.Request) (any, error) {
+// restore publishes the resources of an earlier revision as a new revision.
+func (s *Server) restore(ctx context.Context, sender identity, r *http.Request) (any, error) {
 	revision, err := strconv.ParseUint(r.PathValue("revision"), 10, 64)
 	if err != nil {
 		return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "%q is not a revision", r.PathValue("revision"))
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, err
 	}
-	change, err := newChange(r, who)
+	change, err := newChange(r, sender)
 	if err != nil {
 		return nil, err
 	}
@@ -228,11 +228,12 @@
 	return s.publish(ctx, change)
 }
 
-// drainEngine publishes the engine's pool with the engine marked as draining.
-func (s *Server) drainEngine(ctx context.Context, who identity, r *http.Request) (any, error) {
+// drainEngine publishes the engine's pool with the engine marked as draining, or no longer draining with
+// undo=true.
+func (s *Server) drainEngine(ctx context.Context, sender identity, r *http.Request) (any, error) {
 	key := resource.Key{Kind: resource.KindPool, Name: r.PathValue("pool")}
 	found, exists := s.options.Config.Current().Set.Get(key)
-	if !exists || !who.mayTouch(key) {
+	if !exists || !sender.mayAccess(key) {
 		return nil, notFound(key)
 	}
 	draining := r.URL.Query().Get("undo") != "true"
@@ -248,7 +249,7 @@
 	if !matched {
 		return nil, apierr.New(apierr.NotFound, apierr.NotRun, "pool %s has no engine %q", key.Name, r.PathValue("engine"))
 	}
-	change, err := newChange(r, who)
+	change, err := newChange(r, sender)
 	if err != nil {
 		return nil, err
 	}
