--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -1,4 +1,4 @@
-// Package adminclient calls the administration API.
+// Package adminclient is a client of the administration API that package admin serves.
 package adminclient
 
 import (
@@ -20,33 +20,33 @@
 )
 
 const (
-	timeout      = 30 * time.Second
-	maxBody      = 64 << 20
-	waitInterval = 200 * time.Millisecond
+	requestTimeout   = 30 * time.Second
+	maxResponseBytes = 64 << 20
+	pollInterval     = 200 * time.Millisecond
 )
 
-// Client talks to one node.
+// Client sends requests to one node.
 type Client struct {
 	endpoint string
 	key      string
 	client   *http.Client
 }
 
-// New returns a Client for the administration address of a node, such as http://127.0.0.1:7490.
+// New returns a Client for the administration endpoint of a node, such as http://127.0.0.1:7490.
 func New(endpoint, key string) *Client {
-	return &Client{endpoint: endpoint, key: key, client: &http.Client{Timeout: timeout}}
+	return &Client{endpoint: endpoint, key: key, client: &http.Client{Timeout: requestTimeout}}
 }
 
-type failureBody struct {
+type errorBody struct {
 	Error *apierr.Error `json:"error"`
 }
 
-// call sends a request and decodes its answer. Failures of the API are *apierr.Error.
-func call[Answer any](ctx context.Context, c *Client, method, path string, body []byte, header http.Header) (Answer, error) {
-	var answer Answer
+// call sends a request and decodes the response. Failed requests and error responses are *apierr.Error.
+func call[Response any](ctx context.Context, c *Client, method, path string, body []byte, header http.Header) (Response, error) {
+	var result Response
 	request, err := http.NewRequestWithContext(ctx, method, c.endpoint+admin.Prefix+path, bytes.NewReader(body))
 	if err != nil {
-		return answer, errors.Wrap(err, "building the request")
+		return result, errors.Wrap(err, "building the request")
 	}
 	for name, values := range header {
 		request.Header[name] = values
@@ -54,24 +54,25 @@
 	request.Header.Set("Authorization", "Bearer "+c.key)
 	response, err := c.client.Do(request)
 	if err != nil {
-		return answer, apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "%s", err)
+		return result, apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "%s", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return answer, apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "%s", err)
+		return result, apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "%s", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		var failure failureBody
+		var failure errorBody
 		if json.Unmarshal(content, &failure) == nil && failure.Error != nil {
-			return answer, failure.Error
+			return result, failure.Error
 		}
-		return answer, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "status %d: %s", response.StatusCode, bytes.TrimSpace(content))
+		return result, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "status %d: %s", response.StatusCode, bytes.TrimSpace(content))
 	}
-	return answer, errors.Wrap(json.Unmarshal(content, &answer), "decoding the answer")
+	return result, errors.Wrap(json.Unmarshal(content, &result), "decoding the response")
 }
 
-// Change names what a change is based on.
+// Change identifies a change, so that it can be retried safely, and names the revision that it is based on. Zero
+// values let the node choose an ID and skip the check for conflicts.
 type Change struct {
 	ID   string
 	Base uint64
@@ -88,17 +89,17 @@
 	return header
 }
 
-// Status returns the cluster's state.
+// Status returns the status of the cluster's members.
 func (c *Client) Status(ctx context.Context) (admin.ClusterStatus, error) {
 	return call[admin.ClusterStatus](ctx, c, http.MethodGet, "/status", nil, nil)
 }
 
-// Models returns which engine has which model.
+// Models returns the engines of pools that load models, with their models.
 func (c *Client) Models(ctx context.Context) (admin.ModelList, error) {
 	return call[admin.ModelList](ctx, c, http.MethodGet, "/models", nil, nil)
 }
 
-// Partitions returns the placement of program state.
+// Partitions returns the placement of the partitions.
 func (c *Client) Partitions(ctx context.Context) (admin.PartitionList, error) {
 	return call[admin.PartitionList](ctx, c, http.MethodGet, "/partitions", nil, nil)
 }
@@ -113,7 +114,7 @@
 	return call[admin.DiffResult](ctx, c, http.MethodPost, "/diff", yaml, nil)
 }
 
-// List returns the resources of a kind, or all.
+// List returns the resources of a kind; an empty kind means all.
 func (c *Client) List(ctx context.Context, kind string) (admin.ResourceList, error) {
 	return call[admin.ResourceList](ctx, c, http.MethodGet, "/resources?kind="+url.QueryEscape(kind), nil, nil)
 }
@@ -132,39 +133,39 @@
 	return call[admin.ApplyResult](ctx, c, http.MethodDelete, resourcePath(key), nil, change.header())
 }
 
-// History returns the latest revisions.
+// History returns the latest revisions, newest first.
 func (c *Client) History(ctx context.Context, count int) (admin.HistoryList, error) {
 	return call[admin.HistoryList](ctx, c, http.MethodGet, "/history?count="+strconv.Itoa(count), nil, nil)
 }
 
-// Restore rolls forward to the content of an earlier revision.
+// Restore publishes the resources of an earlier revision as a new revision.
 func (c *Client) Restore(ctx context.Context, revision uint64) (admin.ApplyResult, error) {
 	return call[admin.ApplyResult](ctx, c, http.MethodPost, "/history/"+strconv.FormatUint(revision, 10)+"/restore", nil, nil)
 }
 
-// DrainNode asks a node to stop in order.
+// DrainNode requests the planned stop of a node, given by ID or name.
 func (c *Client) DrainNode(ctx context.Context, node string) error {
 	_, err := call[struct{}](ctx, c, http.MethodPost, "/drain/nodes/"+url.PathEscape(node), nil, nil)
 	return err
 }
 
-// DrainEngine keeps new work away from an engine, or lets it come again.
+// DrainEngine stops sending new calls to an engine, or resumes with undo.
 func (c *Client) DrainEngine(ctx context.Context, pool, engine string, undo bool) (admin.ApplyResult, error) {
 	path := "/drain/pools/" + url.PathEscape(pool) + "/engines/" + url.PathEscape(engine) + "?undo=" + strconv.FormatBool(undo)
 	return call[admin.ApplyResult](ctx, c, http.MethodPost, path, nil, nil)
 }
 
-// Programs lists the programs of a tenant, or all.
+// Programs lists the programs of a tenant; an empty tenant means all.
 func (c *Client) Programs(ctx context.Context, tenant string) (admin.ProgramList, error) {
 	return call[admin.ProgramList](ctx, c, http.MethodGet, "/programs?tenant="+url.QueryEscape(tenant), nil, nil)
 }
 
-// Decision explains where a call went.
+// Decision returns the scheduling decision for a call.
 func (c *Client) Decision(ctx context.Context, callID string) (scheduler.Decision, error) {
 	return call[scheduler.Decision](ctx, c, http.MethodGet, "/decisions/"+url.PathEscape(callID), nil, nil)
 }
 
-// ErrLagging names the nodes where a revision is not in force in time.
+// ErrLagging lists the nodes on which a revision did not come into force in time.
 type ErrLagging struct {
 	Revision uint64
 	Nodes    []string
@@ -175,10 +176,10 @@
 	return "revision " + strconv.FormatUint(e.Revision, 10) + " is not in force on " + strconv.Itoa(len(e.Nodes)) + " nodes yet"
 }
 
-// WaitInForce returns when a revision is in force on all live nodes. The error names those where
-// it is not when the context ends.
+// WaitInForce waits until a revision is in force on all live nodes. If ctx is done before, it returns an
+// *ErrLagging with the other nodes.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) error {
-	ticker := time.NewTicker(waitInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	lagging := []string{"(no status yet)"}
 	for {
