--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node assembles one node of the system from its settings, and stops it in order.
+// Package node assembles a node from its settings, runs it and stops it gracefully.
 package node
 
 import (
@@ -39,21 +39,21 @@
 	"github.com/mountstile/mountstile/internal/settings"
 )
 
-// Version is the product's.
+// Version is the version of the program.
 const Version = "0.1.0"
 
 const (
-	identityFile      = "replica-id"
-	identityBytes     = 6
+	replicaIDFile     = "replica-id"
+	runIDBytes        = 6
 	folderMode        = 0o700
 	fileMode          = 0o600
 	readHeaderTimeout = 10 * time.Second
-	drainPoll         = 20 * time.Millisecond
+	pollInterval      = 20 * time.Millisecond
 	leadershipTimeout = 5 * time.Second
-	farewell          = 300 * time.Millisecond
+	announceDelay     = 300 * time.Millisecond
 )
 
-// Node is one running node.
+// Node is a node of the cluster. Start runs it; Drain and Stop end it gracefully.
 type Node struct {
 	settings settings.Settings
 	logger   *events.Logger
@@ -65,20 +65,20 @@
 	admin    *admin.Server
 	registry *prometheus.Registry
 
-	apiServer   *http.Server
-	adminServer *http.Server
-	listeners   listeners
-	draining    atomic.Bool
-	drain       chan struct{}
-	tasks       sync.WaitGroup
-	cancel      context.CancelFunc
+	apiServer      *http.Server
+	adminServer    *http.Server
+	listeners      listeners
+	draining       atomic.Bool
+	drainRequested chan struct{}
+	tasks          sync.WaitGroup
+	cancel         context.CancelFunc
 }
 
 type listeners struct {
 	peer, api, admin net.Listener
 }
 
-// Listen opens a node's listeners; port 0 picks free ports, and the settings then name them.
+// open opens the listeners and writes their actual addresses to config, where port 0 picked a free port.
 func (l *listeners) open(config *settings.Settings) error {
 	targets := []struct {
 		listener *net.Listener
@@ -104,9 +104,9 @@
 	}
 }
 
-// New opens listeners and storage and assembles a node.
+// New opens the listeners and the storage and assembles a node. Start runs it.
 func New(config settings.Settings, logger *events.Logger) (*Node, error) {
-	node := &Node{settings: config, logger: logger, registry: prometheus.NewRegistry(), pauses: gateway.NewPauseDetector(), drain: make(chan struct{})}
+	node := &Node{settings: config, logger: logger, registry: prometheus.NewRegistry(), pauses: gateway.NewPauseDetector(), drainRequested: make(chan struct{})}
 	if err := node.listeners.open(&node.settings); err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	// Replicas ask for their machines only after Start, when server is set.
+	// NewMachine is not called before Start, so n.server is set by then.
 	options.NewMachine = func(group uint32) replica.StateMachine { return n.server.NewMachine(group) }
 	n.plane, err = control.New(options)
 	if err != nil {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// assembleServers makes what callers and operators talk to.
+// assembleServers creates the HTTP servers for callers and for operators.
 func (n *Node) assembleServers(id string, models engine.ModelEngine) {
 	client := coordinator.NewClient(n.plane.Transport, n.plane.Membership, n.plane.Partitions)
 	n.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), newCollector(n.plane), n.plane.Transport.Traffic())
@@ -215,20 +215,20 @@
 		Membership:   membership.DefaultOptions(),
 		Logger:       n.logger,
 	}
-	id, err := newIdentity(config.Name)
+	id, err := newRunID(config.Name)
 	if err != nil {
 		return options, err
 	}
 	replicaID := id
 	if config.DataFolder != "" {
-		if replicaID, err = storedIdentity(config.DataFolder, id); err != nil {
+		if replicaID, err = loadReplicaID(config.DataFolder, id); err != nil {
 			return options, err
 		}
 		if options.Storage, err = replica.OpenDisk(config.DataFolder); err != nil {
 			return options, err
 		}
 	}
-	if err := n.secure(&options); err != nil {
+	if err := n.configureTLS(&options); err != nil {
 		return options, err
 	}
 	options.Self = membership.Member{
@@ -245,7 +245,7 @@
 	return options, nil
 }
 
-func (n *Node) secure(options *control.Options) error {
+func (n *Node) configureTLS(options *control.Options) error {
 	files := n.settings.TLS
 	if files.Insecure {
 		n.logger.Emit(events.PlainTransport)
@@ -261,39 +261,39 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// newIdentity names one run of the process.
-func newIdentity(name string) (string, error) {
-	random := make([]byte, identityBytes)
+// newRunID returns a unique ID for one run of the process.
+func newRunID(name string) (string, error) {
+	random := make([]byte, runIDBytes)
 	if _, err := rand.Read(random); err != nil {
-		return "", errors.Wrap(err, "drawing an identity")
+		return "", errors.Wrap(err, "generating a node ID")
 	}
 	return name + "-" + hex.EncodeToString(random), nil
 }
 
-// storedIdentity returns the replica identity that belongs to a data folder, and makes it for a
-// new one.
-func storedIdentity(folder, fresh string) (string, error) {
+// loadReplicaID returns the replica ID stored in a data folder. In a folder without one, it stores newID and
+// returns it.
+func loadReplicaID(folder, newID string) (string, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return "", errors.Wrap(err, "making the data folder")
+		return "", errors.Wrap(err, "creating the data folder")
 	}
-	path := filepath.Join(folder, identityFile)
+	path := filepath.Join(folder, replicaIDFile)
 	content, err := os.ReadFile(path)
 	if err == nil {
 		return strings.TrimSpace(string(content)), nil
 	}
 	if !errors.Is(err, os.ErrNotExist) {
-		return "", errors.Wrap(err, "reading the replica identity")
+		return "", errors.Wrap(err, "reading the replica ID")
 	}
-	return fresh, errors.Wrap(os.WriteFile(path, []byte(fresh+"\n"), fileMode), "writing the replica identity")
+	return newID, errors.Wrap(os.WriteFile(path, []byte(newID+"\n"), fileMode), "writing the replica ID")
 }
 
-// Settings returns the settings in use, with the addresses that the listeners got.
+// Settings returns the settings with the actual addresses of the listeners.
 func (n *Node) Settings() settings.Settings { return n.settings }
 
-// Plane returns the node's control part.
+// Plane returns the node's control plane.
 func (n *Node) Plane() *control.Plane { return n.plane }
 
-// Status describes the node for operators.
+// Status returns the node's status for the administration API.
 func (n *Node) Status() admin.NodeStatus {
 	self := n.plane.Membership.View().Self
 	status := admin.NodeStatus{
@@ -319,7 +319,7 @@
 	return status
 }
 
-// Ready reports whether the node serves callers.
+// Ready reports whether the node can serve callers: the control plane is ready and the node is not draining.
 func (n *Node) Ready() bool { return !n.draining.Load() && n.plane.Ready() }
 
 func (n *Node) adminMux() http.Handler {
@@ -335,7 +335,7 @@
 	return mux
 }
 
-// Start runs the node until Stop.
+// Start starts the node's tasks and returns. They run until Stop or Kill.
 func (n *Node) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -347,13 +347,13 @@
 	n.tasks.Go(func() { n.models.Run(ctx) })
 	n.tasks.Go(func() { n.serve(n.apiServer, n.listeners.api) })
 	n.tasks.Go(func() { n.serve(n.adminServer, n.listeners.admin) })
-	n.tasks.Go(func() { n.reportReady(ctx) })
+	n.tasks.Go(func() { n.logReady(ctx) })
 	if n.settings.Machines.Endpoint != "" {
 		n.tasks.Go(func() { n.watchMachines(ctx) })
 	}
 }
 
-// watchMachines begins a planned stop when the platform says that this machine leaves.
+// watchMachines begins a planned stop when the platform's machine list says that this machine is leaving.
 func (n *Node) watchMachines(ctx context.Context) {
 	leaving := func() {
 		n.logger.Emit(events.MachineLeaving)
@@ -369,8 +369,8 @@
 	}
 }
 
-func (n *Node) reportReady(ctx context.Context) {
-	ticker := time.NewTicker(drainPoll)
+func (n *Node) logReady(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !n.Ready() {
 		select {
@@ -382,17 +382,17 @@
 	n.logger.Emit(events.NodeReady, events.F("revision", n.plane.Config.Current().Revision()))
 }
 
-// DrainRequested is closed when an operator asks for a planned stop.
-func (n *Node) DrainRequested() <-chan struct{} { return n.drain }
+// DrainRequested returns a channel that is closed when an operator or the machine list requests a planned stop.
+func (n *Node) DrainRequested() <-chan struct{} { return n.drainRequested }
 
 func (n *Node) requestDrain() {
 	if n.draining.CompareAndSwap(false, true) {
-		close(n.drain)
+		close(n.drainRequested)
 	}
 }
 
-// Drain prepares a planned stop: the members hear of it, leadership moves, new requests are
-// refused, and those under way end. It returns early when the context ends.
+// Drain prepares a planned stop: it announces that the node is leaving, transfers leadership, refuses new requests
+// and waits for those in progress. It returns early if ctx is done.
 func (n *Node) Drain(ctx context.Context) {
 	n.draining.Store(true)
 	n.logger.Emit(events.NodeStopping)
@@ -401,7 +401,7 @@
 	defer cancel()
 	n.plane.Partitions.MoveLeadership(leadership)
 	n.gateway.Stop()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for n.gateway.Active() > 0 {
 		select {
@@ -412,16 +412,16 @@
 	}
 }
 
-// Stop ends the node; after Drain it cuts off nothing.
+// Stop announces that the node has left and ends it. Requests in progress are cut off; call Drain before.
 func (n *Node) Stop() error {
 	n.plane.Membership.Announce(membership.Left)
-	// The connections' writers need a moment to send the announcement.
-	timer := time.NewTimer(farewell)
+	// The announcement is sent in the background; give it time to go out.
+	timer := time.NewTimer(announceDelay)
 	<-timer.C
 	return n.Kill()
 }
 
-// Kill ends the node at once and tells nobody.
+// Kill ends the node at once, without an announcement.
 func (n *Node) Kill() error {
 	_ = n.apiServer.Close()
 	_ = n.adminServer.Close()
