--- a/cmd/mountstile/admin.go
+++ b/cmd/mountstile/admin.go
@@ -17,7 +17,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// connection is what all commands that talk to a node share.
+// connection has the flags of all commands that send requests to a node.
 type connection struct {
 	Endpoint string `long:"endpoint" env:"MOUNTSTILE_ENDPOINT" default:"http://127.0.0.1:7490" description:"administration address of any node"`
 	Key      string `long:"key" env:"MOUNTSTILE_KEY" description:"API key with the role operator or reader"`
@@ -32,9 +32,9 @@
 }
 
 func readFiles(paths []string) ([]byte, error) {
-	var all bytes.Buffer
+	var joined bytes.Buffer
 	for _, path := range paths {
-		// Decoding here names file and line; the node decodes again.
+		// The files are decoded here so that errors name the file and line; the node decodes them again.
 		if _, err := decodeFile(path); err != nil {
 			return nil, err
 		}
@@ -42,10 +42,10 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "reading resources")
 		}
-		all.Write(content)
-		all.WriteString("\n---\n")
+		joined.Write(content)
+		joined.WriteString("\n---\n")
 	}
-	return all.Bytes(), nil
+	return joined.Bytes(), nil
 }
 
 type applyCommand struct {
@@ -166,6 +166,7 @@
 	return errors.Wrap(table.Flush(), "printing")
 }
 
+// joinKeys formats keys as a list of KIND/NAME.
 func joinKeys(keys []resource.Key) string {
 	names := make([]string, 0, len(keys))
 	for _, key := range keys {
@@ -252,19 +253,19 @@
 	Undo   bool   `long:"undo" description:"let work come to the engine again"`
 }
 
-// errDrainTarget means that the flags of drain name nothing, or two things.
+// errDrainTarget means that the flags of drain name no target, part of one, or both kinds.
 type errDrainTarget struct{}
 
 // Error implements error.
-func (errDrainTarget) Error() string { return "name either --node, or --pool and --engine" }
+func (errDrainTarget) Error() string { return "specify either --node, or both --pool and --engine" }
 
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
-	byEngine := c.Pool != "" && c.Engine != ""
+	engineGiven := c.Pool != "" && c.Engine != ""
 	switch {
-	case c.Node != "" && !byEngine:
+	case c.Node != "" && !engineGiven:
 		return c.client().DrainNode(context.Background(), c.Node)
-	case c.Node == "" && byEngine:
+	case c.Node == "" && engineGiven:
 		result, err := c.client().DrainEngine(context.Background(), c.Pool, c.Engine, c.Undo)
 		if err != nil {
 			return err
--- a/cmd/mountstile/explain.go
+++ b/cmd/mountstile/explain.go
@@ -17,31 +17,31 @@
 	} `positional-args:"true"`
 }
 
-// errNotInLogs means that no line of the logs is about the ID.
+// errNotInLogs means that no log line belongs to the request or program.
 type errNotInLogs struct{ id string }
 
 // Error implements error.
-func (e *errNotInLogs) Error() string { return "no line of these logs is about " + e.id }
+func (e *errNotInLogs) Error() string { return "no line in these logs is about " + e.id }
 
-// Execute prints the story of a request or program.
+// Execute implements flags.Commander.
 func (c *explainCommand) Execute([]string) error {
 	var lines []explain.Line
 	for _, name := range append(c.Logs, c.Args.Files...) {
 		file, err := os.Open(name)
 		if err != nil {
-			return errors.Wrap(err, "logs")
+			return errors.Wrap(err, "opening a log file")
 		}
-		read, err := explain.Read(file, name)
+		fileLines, err := explain.Read(file, name)
 		if closeErr := file.Close(); err == nil {
 			err = closeErr
 		}
 		if err != nil {
 			return err
 		}
-		if len(read) == 0 {
+		if len(fileLines) == 0 {
 			fmt.Fprintf(os.Stderr, "%s has no log lines of mountstile\n", name)
 		}
-		lines = append(lines, read...)
+		lines = append(lines, fileLines...)
 	}
 	report := explain.NewReport(lines, c.Args.ID)
 	if !report.Found() {
--- a/cmd/mountstile/main.go
+++ b/cmd/mountstile/main.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// report prints a failure and returns the exit code that goes with it.
+// report prints an error and returns its exit code.
 func report(err error) int {
 	var usage *flags.Error
 	if errors.As(err, &usage) {
@@ -95,12 +95,12 @@
 		}
 		return exitLagging
 	case errors.As(err, &failure):
-		return exitCodeOf(failure)
+		return apiExitCode(failure)
 	}
 	return exitFailure
 }
 
-func exitCodeOf(failure *apierr.Error) int {
+func apiExitCode(failure *apierr.Error) int {
 	switch failure.Code {
 	case apierr.InvalidRequest:
 		return exitInvalid
--- a/cmd/mountstile/node.go
+++ b/cmd/mountstile/node.go
@@ -35,8 +35,8 @@
 	AdminKey   []string `long:"admin-key" value-name:"ID:SALT:HASH" description:"an administrator's hashed key, as 'mountstile key' prints it; may be repeated"`
 }
 
-// read merges the settings file and the flags.
-func (c *nodeCommand) read() (settings.Settings, error) {
+// loadSettings reads the settings file, if there is one, and applies the flags, which override it.
+func (c *nodeCommand) loadSettings() (settings.Settings, error) {
 	path := c.Settings
 	var content []byte
 	if path != "" {
@@ -78,13 +78,13 @@
 
 // Execute implements flags.Commander.
 func (c *nodeCommand) Execute([]string) error {
-	config, err := c.read()
+	config, err := c.loadSettings()
 	if err != nil {
 		return err
 	}
 	level, err := logrus.ParseLevel(config.LogLevel)
 	if err != nil {
-		return errors.Wrap(err, "log level")
+		return errors.Wrap(err, "parsing the log level")
 	}
 	running, err := node.New(config, events.NewLogger(os.Stderr, level, config.Name))
 	if err != nil {
@@ -100,6 +100,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(config.DrainSeconds*float64(time.Second)))
 	defer cancel()
 	go func() {
+		// A second signal ends the drain early.
 		<-signals
 		cancel()
 	}()
