--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -187,7 +187,7 @@
 		if time.Now().After(deadline) {
 			return zero, unavailableError(id, mayHaveRun, lastErr)
 		}
-		clock.Pause(ctx, routeRetryInterval)
+		clock.Sleep(ctx, routeRetryInterval)
 	}
 }
 
--- a/internal/turnstore/retry.go
+++ b/internal/turnstore/retry.go
@@ -55,7 +55,7 @@
 				pending++
 				sentAt = time.Now()
 				go func() {
-					clock.Pause(ctx, retryDelay)
+					clock.Sleep(ctx, retryDelay)
 					send()
 				}()
 			}
