--- a/test/path/follow_test.go
+++ b/test/path/follower_test.go
@@ -18,30 +18,30 @@
 	"github.com/mountstile/mountstile/internal/lab/runner"
 )
 
-// TestFollowerOfALostGateway kills the gateway that executes a call, in the middle of its answer. Whoever follows the answer at another
-// gateway must not take that for its end: it goes on with what it has, to the whole answer.
-func TestFollowerOfALostGateway(t *testing.T) {
-	system := start(t, 2)
+// TestFollowerSurvivesGatewayLoss kills the gateway that executes a call in the middle of its answer. A follower of the answer at
+// another gateway must not treat the loss as the end of the stream; it resumes from the text it has and gets the full answer.
+func TestFollowerSurvivesGatewayLoss(t *testing.T) {
+	system := startCluster(t, 2)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	request := call("", 0, user("a long story"))
+	request := newCall("", 0, userMessage("a long story"))
 	request.IdempotencyKey, request.Tokens = "story", 300
 	var first sync.WaitGroup
 	first.Go(func() {
 		_, err := client.Chat(t.Context(), system.APIs()[1], request)
-		assert.Check(t, err != nil, "the caller of the gateway that is killed got an end")
+		assert.Check(t, err != nil, "the call through the killed gateway succeeded")
 	})
-	var serving string
+	var busy string
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for name, engine := range system.Engines {
 			if engine.Stats().Tokens > 5 {
-				serving = name
+				busy = name
 				return poll.Success()
 			}
 		}
 		return poll.Continue("no tokens yet")
-	}, poll.WithTimeout(patience), poll.WithDelay(time.Millisecond))
-	system.Engines[serving].SetFaults(emulator.Faults{Hang: true})
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(time.Millisecond))
+	system.Engines[busy].SetFaults(emulator.Faults{Hang: true})
 
 	body := `{"model":"tutor","messages":[{"role":"user","content":"a long story"}],"max_tokens":300,"min_tokens":300,"stream":true}`
 	repeat, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIs()[2]+"/v1/chat/completions", strings.NewReader(body))
@@ -58,7 +58,7 @@
 
 	assert.NilError(t, system.Kill(1))
 	first.Wait()
-	system.Engines[serving].SetFaults(emulator.Faults{})
+	system.Engines[busy].SetFaults(emulator.Faults{})
 	followed, err := runner.ReadStream(io.MultiReader(strings.NewReader(line), reader))
 	assert.NilError(t, err)
 	expected := emulator.ExpectedAnswer([]json.RawMessage{json.RawMessage(`{"role":"user","content":"a long story"}`)}, 300)
--- a/test/path/models_test.go
+++ b/test/path/models_test.go
@@ -28,7 +28,7 @@
 
 const modelEngines = 4
 
-// serveWeights runs a weight store; address "" picks a free port.
+// serveWeights runs a weight store at address, or at a free port if it is empty.
 func serveWeights(t *testing.T, address string) *httptest.Server {
 	t.Helper()
 	weights := httptest.NewUnstartedServer(weightserver.New(32<<10, 1<<20))
@@ -43,39 +43,38 @@
 	return weights
 }
 
-// keptLines keeps the nodes' log lines, and shows them if the test fails.
-type keptLines struct {
+// logTail keeps the nodes' last log lines and prints them if the test fails.
+type logTail struct {
 	mutex sync.Mutex
 	lines []string
 }
 
-// mostKeptLines bounds the log lines that a failed test shows.
-const mostKeptLines = 400
+const maxLogLines = 400
 
-func keepLines(t *testing.T) *keptLines {
+func newLogTail(t *testing.T) *logTail {
 	t.Helper()
-	kept := &keptLines{}
+	tail := &logTail{}
 	t.Cleanup(func() {
-		kept.mutex.Lock()
-		defer kept.mutex.Unlock()
+		tail.mutex.Lock()
+		defer tail.mutex.Unlock()
 		if t.Failed() {
-			t.Logf("the nodes' last log lines:\n%s", strings.Join(kept.lines, ""))
+			t.Logf("the nodes' last log lines:\n%s", strings.Join(tail.lines, ""))
 		}
 	})
-	return kept
+	return tail
 }
 
 // Write implements io.Writer; the logger writes one line at a time.
-func (k *keptLines) Write(line []byte) (int, error) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.lines = append(k.lines, string(line))
-	k.lines = k.lines[max(0, len(k.lines)-mostKeptLines):]
+func (l *logTail) Write(line []byte) (int, error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.lines = append(l.lines, string(line))
+	l.lines = l.lines[max(0, len(l.lines)-maxLogLines):]
 	return len(line), nil
 }
 
-// startLoading brings up a cluster whose engines load models small and large from a weight store.
-func startLoading(t *testing.T, weightStore string, queue time.Duration) *cluster.Cluster {
+// startLoadingCluster starts a cluster whose engines load the models "small" and "large" from a weight store.
+func startLoadingCluster(t *testing.T, weightStore string, queue time.Duration) *cluster.Cluster {
 	t.Helper()
 	items := resources(modelEngines)
 	for index := range items {
@@ -87,19 +86,19 @@
 			item.Service.QueueSeconds = queue.Seconds()
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	system, err := cluster.Start(ctx, cluster.Options{
 		Nodes: 4, Zones: []string{"a", "b", "c"}, Region: "r", Resources: items, Engine: emulator.DefaultConfig(), Partitions: 6,
-		LogOutput: keepLines(t), LogLevel: logrus.InfoLevel,
+		LogOutput: newLogTail(t), LogLevel: logrus.InfoLevel,
 	})
 	t.Cleanup(system.Stop)
 	assert.NilError(t, err)
 	return system
 }
 
-// modelsAtEngines counts the engines by what they say that they have loaded.
-func modelsAtEngines(t *testing.T, system *cluster.Cluster) map[string]int {
+// countLoadedModels returns how many engines report each model as loaded.
+func countLoadedModels(t *testing.T, system *cluster.Cluster) map[string]int {
 	t.Helper()
 	counts := make(map[string]int)
 	for _, server := range system.Engines {
@@ -108,14 +107,14 @@
 	return counts
 }
 
-// failedCall is a call's failure and when it came.
+// failedCall is a call's error and the time when it was returned.
 type failedCall struct {
 	at  time.Time
 	err error
 }
 
-// demand keeps calls of one model going until it is stopped, and counts those that failed.
-type demand struct {
+// loadGenerator calls one model continuously until it is stopped and records the failed calls.
+type loadGenerator struct {
 	stopped  atomic.Bool
 	tasks    sync.WaitGroup
 	mutex    sync.Mutex
@@ -123,117 +122,116 @@
 	calls    atomic.Int64
 }
 
-func callFor(t *testing.T, system *cluster.Cluster, client *runner.Client, model string, callers int) *demand {
-	running := &demand{}
+func generateLoad(t *testing.T, system *cluster.Cluster, client *runner.Client, model string, callers int) *loadGenerator {
+	generator := &loadGenerator{}
 	for number := range callers {
-		running.tasks.Go(func() {
-			for count := 0; !running.stopped.Load(); count++ {
+		generator.tasks.Go(func() {
+			for count := 0; !generator.stopped.Load(); count++ {
 				addresses := system.APIs()
-				request := call("", 0, user(fmt.Sprintf("%s %d %d", model, number, count)))
+				request := newCall("", 0, userMessage(fmt.Sprintf("%s %d %d", model, number, count)))
 				request.Model, request.Tokens = model, 60
 				if _, err := client.Chat(t.Context(), addresses[(number+count)%len(addresses)], request); err != nil {
-					running.mutex.Lock()
-					running.failures = append(running.failures, failedCall{at: time.Now().UTC(), err: err})
-					running.mutex.Unlock()
+					generator.mutex.Lock()
+					generator.failures = append(generator.failures, failedCall{at: time.Now().UTC(), err: err})
+					generator.mutex.Unlock()
 				}
-				running.calls.Add(1)
+				generator.calls.Add(1)
 			}
 		})
 	}
-	return running
+	return generator
 }
 
-// stop ends the calls; none may have failed.
-func (d *demand) stop(t *testing.T, system *cluster.Cluster) {
+// stop waits for the running calls and fails the test if any call failed.
+func (g *loadGenerator) stop(t *testing.T, system *cluster.Cluster) {
 	t.Helper()
-	d.stopped.Store(true)
-	d.tasks.Wait()
-	if len(d.failures) == 0 {
+	g.stopped.Store(true)
+	g.tasks.Wait()
+	if len(g.failures) == 0 {
 		return
 	}
 	for name, server := range system.Engines {
-		t.Logf("engine %s has %+v", name, server.ModelState())
+		t.Logf("engine %s reports %+v", name, server.ModelState())
 	}
 	for node := range system.Nodes {
-		t.Logf("node %d believes %v", node, recordedModels(t, system, node))
+		t.Logf("node %d records %v", node, recordedModels(t, system, node))
 	}
-	t.Fatalf("%d of %d calls failed: %+v", len(d.failures), d.calls.Load(), d.kinds())
+	t.Fatalf("%d of %d calls failed: %+v", len(g.failures), g.calls.Load(), g.groups())
 }
 
-// failedKind is what failures have in common; the times are of the first and the last one.
-type failedKind struct {
+// failureGroup counts failures with the same text, with the times of the first and the last one.
+type failureGroup struct {
 	Count       int
 	First, Last string
 }
 
-// kinds groups the failures by their text.
-func (d *demand) kinds() map[string]failedKind {
-	kinds := make(map[string]failedKind)
-	for _, failure := range d.failures {
-		kind := kinds[failure.err.Error()]
-		kind.Count++
-		kind.Last = failure.at.Format(time.RFC3339Nano)
-		if kind.First == "" {
-			kind.First = kind.Last
+// groups returns the failures grouped by their text.
+func (g *loadGenerator) groups() map[string]failureGroup {
+	groups := make(map[string]failureGroup)
+	for _, failure := range g.failures {
+		group := groups[failure.err.Error()]
+		group.Count++
+		group.Last = failure.at.Format(time.RFC3339Nano)
+		if group.First == "" {
+			group.First = group.Last
 		}
-		kinds[failure.err.Error()] = kind
+		groups[failure.err.Error()] = group
 	}
-	return kinds
+	return groups
 }
 
 func waitForModel(t *testing.T, system *cluster.Cluster, model string, engines int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if counts := modelsAtEngines(t, system); counts[model] < engines {
-			return poll.Continue("engines have %v", counts)
+		if counts := countLoadedModels(t, system); counts[model] < engines {
+			return poll.Continue("loaded models: %v", counts)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(2*patience))
+	}, poll.WithTimeout(2*waitTimeout))
 }
 
-// TestModelsFollowDemand: engines load the models that are called for; when demand moves to the other
-// model, and the node that decides dies, its successor moves the engines after it. No call fails.
+// TestModelsFollowDemand checks that engines load the models that are requested. When demand moves to the other
+// model and the leader that places models is killed, its successor reloads the engines. No call may fail.
 func TestModelsFollowDemand(t *testing.T) {
 	t.Parallel()
-	system := startLoading(t, serveWeights(t, "").URL, patience)
+	system := startLoadingCluster(t, serveWeights(t, "").URL, waitTimeout)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	small := callFor(t, system, client, "small", 14)
+	small := generateLoad(t, system, client, "small", 14)
 	waitForModel(t, system, "small", modelEngines-1)
 	small.stop(t, system)
 
-	shown := 0
+	listed := 0
 	list, err := system.Admin.Models(t.Context())
 	assert.NilError(t, err)
 	for _, item := range list.Engines {
 		if item.Model == "small" {
-			shown++
+			listed++
 		}
 	}
-	assert.Assert(t, len(list.Engines) == modelEngines && shown > 0, "%v", list)
+	assert.Assert(t, len(list.Engines) == modelEngines && listed > 0, "%v", list)
 	before := highestToken(system)
-	killDecider(t, system)
-	large := callFor(t, system, client, "large", 14)
+	killPoolLeader(t, system)
+	large := generateLoad(t, system, client, "large", 14)
 	waitForModel(t, system, "large", modelEngines-1)
 	large.stop(t, system)
-	assert.Assert(t, highestToken(system) > before, "a successor's tokens are higher")
+	assert.Assert(t, highestToken(system) > before, "the new leader's tokens must be higher")
 
-	// An order of before the change of leaders comes late: it changes nothing at engines that the successor
-	// has given one.
-	late := 0
+	// Engines that have an order of the new leader must reject a delayed order of the old one.
+	checked := 0
 	for name, server := range system.Engines {
 		state := server.ModelState()
 		if state.Token <= before {
 			continue
 		}
-		late++
+		checked++
 		target := engine.Target{Name: name, URL: system.EngineURL(name)}
 		err := engine.NewOpenAI().Order(t.Context(), target, engine.Order{Token: before, Model: "small"})
 		var fenced *engine.ErrFenced
 		assert.Assert(t, errors.As(err, &fenced), "%v", err)
 		assert.Assert(t, server.ModelState().Loading != "small")
 	}
-	assert.Assert(t, late > 0)
+	assert.Assert(t, checked > 0)
 }
 
 func highestToken(system *cluster.Cluster) uint64 {
@@ -244,23 +242,23 @@
 	return highest
 }
 
-// killDecider ends the node that leads the partition of the pool.
-func killDecider(t *testing.T, system *cluster.Cluster) {
+// killPoolLeader kills the node that leads the pool's partition.
+func killPoolLeader(t *testing.T, system *cluster.Cluster) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		for index, running := range system.Nodes {
-			id, _, err := running.Plane().Partitions.Locate("r", "", "model/models")
+		for index, node := range system.Nodes {
+			id, _, err := node.Plane().Partitions.Locate("r", "", "model/models")
 			assert.NilError(t, err)
-			if status, known := running.Plane().Host.Status(id); known && status.IsLeader {
+			if status, known := node.Plane().Host.Status(id); known && status.IsLeader {
 				assert.NilError(t, system.Kill(index))
 				return poll.Success()
 			}
 		}
-		return poll.Continue("nobody leads")
-	}, poll.WithTimeout(patience))
+		return poll.Continue("the partition has no leader")
+	}, poll.WithTimeout(waitTimeout))
 }
 
-// recordedModels is what a node believes that the engines have loaded.
+// recordedModels returns the model that a node records for each engine.
 func recordedModels(t *testing.T, system *cluster.Cluster, node int) map[string]string {
 	t.Helper()
 	address := "http://" + system.Nodes[node].Settings().Admin.Listen
@@ -273,38 +271,38 @@
 	return models
 }
 
-// waitForBeliefs waits until all nodes believe of all engines what these say, and that has been loaded.
-func waitForBeliefs(t *testing.T, system *cluster.Cluster) {
+// waitForRecords waits until every engine has finished loading and all nodes record the model that it reports.
+func waitForRecords(t *testing.T, system *cluster.Cluster) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for node := range system.Nodes {
-			believed := recordedModels(t, system, node)
+			recorded := recordedModels(t, system, node)
 			for name, server := range system.Engines {
-				if state := server.ModelState(); state.Model == "" || state.Loading != "" || believed[name] != state.Model {
-					return poll.Continue("node %d believes %v, engine %s has %+v", node, believed, name, state)
+				if state := server.ModelState(); state.Model == "" || state.Loading != "" || recorded[name] != state.Model {
+					return poll.Continue("node %d records %v, engine %s reports %+v", node, recorded, name, state)
 				}
 			}
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(waitTimeout))
 }
 
-// TestEnginesThatLackTheRecordedModel: all engines that have a model by the members' records have loaded
-// another one, as after an order whose record did not get out. Calls of that model wait for an engine that
-// loads it and none fails, whether the node that decides finds out or dies.
-func TestEnginesThatLackTheRecordedModel(t *testing.T) {
-	for name, deciderDies := range map[string]bool{"decider lives": false, "decider dies": true} {
+// TestRecordedModelNotLoaded makes all engines that are recorded with one model load another, as after an order whose
+// record was lost. Calls of the first model must wait until an engine loads it, also if the leader that places
+// models is killed.
+func TestRecordedModelNotLoaded(t *testing.T) {
+	for name, killLeader := range map[string]bool{"leader runs": false, "leader killed": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			weights := serveWeights(t, "")
-			system := startLoading(t, weights.URL, patience)
+			system := startLoadingCluster(t, weights.URL, waitTimeout)
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if counts := modelsAtEngines(t, system); counts["small"] != modelEngines/2 || counts["large"] != modelEngines/2 {
-					return poll.Continue("engines have %v", counts)
+				if counts := countLoadedModels(t, system); counts["small"] != modelEngines/2 || counts["large"] != modelEngines/2 {
+					return poll.Continue("loaded models: %v", counts)
 				}
 				return poll.Success()
-			}, poll.WithTimeout(patience))
-			waitForBeliefs(t, system)
+			}, poll.WithTimeout(waitTimeout))
+			waitForRecords(t, system)
 			for name, server := range system.Engines {
 				order := engine.Order{Token: highestToken(system) + 1, Model: "small", WeightStore: weights.URL}
 				if server.ModelState().Model != "small" {
@@ -312,56 +310,55 @@
 				}
 			}
 			waitForModel(t, system, "small", modelEngines)
-			if deciderDies {
-				killDecider(t, system)
+			if killLeader {
+				killPoolLeader(t, system)
 			}
 			client := runner.NewClient(apiKey)
 			defer client.Close()
-			large := callFor(t, system, client, "large", 14)
+			large := generateLoad(t, system, client, "large", 14)
 			waitForModel(t, system, "large", 1)
 			large.stop(t, system)
 			assert.Assert(t, large.calls.Load() > 0)
-			waitForBeliefs(t, system)
+			waitForRecords(t, system)
 		})
 	}
 }
 
-// TestEnginesOfAnEarlierCluster: engines have seen tokens of a cluster that is gone, whose terms were higher.
-// The present leader goes above them, and gives orders again.
-func TestEnginesOfAnEarlierCluster(t *testing.T) {
+// TestEngineTokensOfEarlierCluster starts from engines that hold a higher fencing token, from a cluster that no longer
+// exists. The leader must raise its tokens above theirs so that its orders are accepted.
+func TestEngineTokensOfEarlierCluster(t *testing.T) {
 	t.Parallel()
 	weights := serveWeights(t, "")
-	system := startLoading(t, weights.URL, patience)
+	system := startLoadingCluster(t, weights.URL, waitTimeout)
 	for name := range system.Engines {
 		order := engine.Order{Token: 1 << 50, Model: "forgotten", WeightStore: weights.URL}
 		assert.NilError(t, engine.NewOpenAI().Order(t.Context(), engine.Target{Name: name, URL: system.EngineURL(name)}, order))
 	}
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	request := call("", 0, user("is anybody there?"))
+	request := newCall("", 0, userMessage("is anybody there?"))
 	request.Model = "large"
-	chat(t, client, system.APIs()[0], request)
+	mustChat(t, client, system.APIs()[0], request)
 	for _, model := range []string{"small", "large"} {
 		waitForModel(t, system, model, 1)
 	}
 	assert.Assert(t, highestToken(system) > 1<<50)
 }
 
-// TestModelThatCannotBeLoaded: while the weight store is away, a call of a model that no engine has is
-// refused as not run when it may not wait longer; when the store is back, the model is loaded and the same
-// call, with its key, runs.
-func TestModelThatCannotBeLoaded(t *testing.T) {
+// TestModelLoadFailure stops the weight store: a call of a model that no engine has must be refused as not run at the end
+// of its queue time. Once the store is back, the same call with the same key must run.
+func TestModelLoadFailure(t *testing.T) {
 	t.Parallel()
-	// The store comes back at the same port. On an address of its own no other test takes that meanwhile.
+	// The store restarts at the same port. A loopback host of its own keeps other tests from taking the port.
 	weights := serveWeights(t, "127.0.77.1:0")
 	weights.Close()
-	system := startLoading(t, weights.URL, time.Second)
+	system := startLoadingCluster(t, weights.URL, time.Second)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	request := call("pupil", 1, user("which model?"))
+	request := newCall("pupil", 1, userMessage("which model?"))
 	request.Model, request.IdempotencyKey = "small", "key"
 	_, err := client.Chat(t.Context(), system.APIs()[0], request)
-	failure := failureOf(t, err)
+	failure := requireFailure(t, err)
 	assert.Equal(t, failure.Code, string(apierr.NoEngine))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
 	assert.Assert(t, failure.RetryAfter > 0)
@@ -371,7 +368,7 @@
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(2*patience))
+	}, poll.WithTimeout(2*waitTimeout))
 	calls := 0
 	for _, server := range system.Engines {
 		calls += len(server.Ledger())
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -1,5 +1,4 @@
-// Package path_test exercises the whole path from a caller to an engine on a cluster in this
-// process.
+// Package path_test tests calls from a client to an engine through a cluster in the test's process.
 package path_test
 
 import (
@@ -31,8 +30,8 @@
 const (
 	secret = "test-secret"
 	apiKey = "school.k." + secret
-	// patience is how long a condition may take on a busy machine; it is no measure of speed.
-	patience = 30 * time.Second
+	// waitTimeout bounds each wait for a condition; it allows for a busy machine.
+	waitTimeout = 30 * time.Second
 )
 
 func resources(engines int) []resource.Resource {
@@ -45,15 +44,15 @@
 		{Kind: resource.KindTenant, Name: "other", Tenant: &resource.Tenant{Keys: []resource.APIKey{resource.NewAPIKey("k", secret, resource.RoleCaller)}}},
 		{Kind: resource.KindPool, Name: "models", Pool: pool},
 		{Kind: resource.KindPool, Name: "books", Pool: &resource.Pool{Engines: []resource.Engine{{Name: "b1", URL: "http://replaced", Slots: 4}, {Name: "b2", URL: "http://replaced", Slots: 4}}}},
-		{Kind: resource.KindService, Name: "tutor", Service: &resource.Service{Type: resource.ServiceModel, Pool: "models", Models: []string{"tutor"}, Tenants: []string{"school"}, MaxTokens: 400, StallSeconds: patience.Seconds()}},
+		{Kind: resource.KindService, Name: "tutor", Service: &resource.Service{Type: resource.ServiceModel, Pool: "models", Models: []string{"tutor"}, Tenants: []string{"school"}, MaxTokens: 400, StallSeconds: waitTimeout.Seconds()}},
 		{Kind: resource.KindService, Name: "book", Service: &resource.Service{Type: resource.ServiceApplication, Pool: "books", Tenants: []string{"school"}}},
 	}
 }
 
-func start(t *testing.T, engines int) *cluster.Cluster {
+func startCluster(t *testing.T, engines int) *cluster.Cluster {
 	t.Helper()
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	system, err := cluster.Start(ctx, cluster.Options{
 		Nodes: 3, Zones: []string{"a", "b", "c"}, Region: "r", Resources: resources(engines), Engine: emulator.DefaultConfig(), Partitions: 6,
@@ -63,26 +62,26 @@
 	return system
 }
 
-func newOpenAI(system *cluster.Cluster, node int, key string) openai.Client {
+func newOpenAIClient(system *cluster.Cluster, node int, key string) openai.Client {
 	return openai.NewClient(option.WithBaseURL(system.APIs()[node]+"/v1"), option.WithAPIKey(key))
 }
 
-func question(text string) openai.ChatCompletionNewParams {
+func chatParams(text string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{Model: "tutor", MaxTokens: openai.Int(20), Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(text)}}
 }
 
-// TestOfficialClient runs the OpenAI Go client unmodified but for its base URL and key.
-func TestOfficialClient(t *testing.T) {
-	system := start(t, 2)
-	client := newOpenAI(system, 0, apiKey)
+// TestOpenAIClient runs the official OpenAI Go client against a gateway.
+func TestOpenAIClient(t *testing.T) {
+	system := startCluster(t, 2)
+	client := newOpenAIClient(system, 0, apiKey)
 	t.Run("whole", func(t *testing.T) {
-		answer, err := client.Chat.Completions.New(t.Context(), question("What is 7 times 8?"))
+		answer, err := client.Chat.Completions.New(t.Context(), chatParams("What is 7 times 8?"))
 		assert.NilError(t, err)
 		assert.Assert(t, strings.HasPrefix(answer.Choices[0].Message.Content, " 1:"))
 		assert.Assert(t, answer.Usage.CompletionTokens > 0)
 	})
 	t.Run("streamed", func(t *testing.T) {
-		stream := client.Chat.Completions.NewStreaming(t.Context(), question("And 8 times 9?"))
+		stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams("And 8 times 9?"))
 		var whole openai.ChatCompletionAccumulator
 		for stream.Next() {
 			whole.AddChunk(stream.Current())
@@ -103,15 +102,15 @@
 		status int
 		code   string
 	}{
-		"bad key":         {"school.k.wrong", question("x"), http.StatusUnauthorized, "unauthenticated"},
-		"unknown model":   {apiKey, openai.ChatCompletionNewParams{Model: "none", Messages: question("x").Messages}, http.StatusNotFound, "unknown_model"},
-		"another's model": {"other.k." + secret, question("x"), http.StatusNotFound, "unknown_model"},
-		"too large":       {apiKey, question(strings.Repeat("x", 9<<20)), http.StatusRequestEntityTooLarge, "body_too_large"},
+		"bad key":         {"school.k.wrong", chatParams("x"), http.StatusUnauthorized, "unauthenticated"},
+		"unknown model":   {apiKey, openai.ChatCompletionNewParams{Model: "none", Messages: chatParams("x").Messages}, http.StatusNotFound, "unknown_model"},
+		"another's model": {"other.k." + secret, chatParams("x"), http.StatusNotFound, "unknown_model"},
+		"too large":       {apiKey, chatParams(strings.Repeat("x", 9<<20)), http.StatusRequestEntityTooLarge, "body_too_large"},
 	}
 	for name, failure := range failures {
 		t.Run(name, func(t *testing.T) {
-			stranger := newOpenAI(system, 1, failure.key)
-			_, err := stranger.Chat.Completions.New(t.Context(), failure.params)
+			caller := newOpenAIClient(system, 1, failure.key)
+			_, err := caller.Chat.Completions.New(t.Context(), failure.params)
 			var refused *openai.Error
 			assert.Assert(t, errors.As(err, &refused), "%v", err)
 			assert.Equal(t, refused.StatusCode, failure.status)
@@ -143,39 +142,39 @@
 	return response, string(text)
 }
 
-func call(program string, sequence int, messages ...runner.Message) runner.Call {
+func newCall(program string, sequence int, messages ...runner.Message) runner.Call {
 	return runner.Call{Program: program, Sequence: sequence, Model: "tutor", Messages: messages, Tokens: 20}
 }
 
-func user(text string) runner.Message { return runner.Message{Role: "user", Content: text} }
+func userMessage(text string) runner.Message { return runner.Message{Role: "user", Content: text} }
 
-func chat(t *testing.T, client *runner.Client, node string, request runner.Call) runner.Reply {
+func mustChat(t *testing.T, client *runner.Client, node string, request runner.Call) runner.Reply {
 	t.Helper()
 	reply, err := client.Chat(t.Context(), node, request)
 	assert.NilError(t, err)
 	return reply
 }
 
-func failureOf(t *testing.T, err error) *runner.Failure {
+func requireFailure(t *testing.T, err error) *runner.Failure {
 	t.Helper()
 	var failure *runner.Failure
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	return failure
 }
 
-// TestHistoryThroughAnyNode continues a program through other nodes, with all messages and with
-// only the new ones, and refuses another history.
-func TestHistoryThroughAnyNode(t *testing.T) {
-	system := start(t, 2)
+// TestHistoryAcrossNodes continues a program through other nodes, with the full history and with only the new messages.
+// A history that differs from the stored one must be refused.
+func TestHistoryAcrossNodes(t *testing.T) {
+	system := startCluster(t, 2)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	nodes := system.APIs()
-	first := chat(t, client, nodes[0], call("p", 1, user("one")))
+	first := mustChat(t, client, nodes[0], newCall("p", 1, userMessage("one")))
 	answer := runner.Message{Role: "assistant", Content: first.Content}
-	second := chat(t, client, nodes[1], call("p", 2, user("one"), answer, user("two")))
-	delta := call("p", 3, user("three"))
+	second := mustChat(t, client, nodes[1], newCall("p", 2, userMessage("one"), answer, userMessage("two")))
+	delta := newCall("p", 3, userMessage("three"))
 	delta.DeltaHistory = true
-	chat(t, client, nodes[2], delta)
+	mustChat(t, client, nodes[2], delta)
 	var messages []int
 	for _, engine := range system.Engines {
 		for _, entry := range engine.Ledger() {
@@ -183,10 +182,10 @@
 		}
 	}
 	assert.Equal(t, len(messages), 3)
-	assert.Assert(t, contains(messages, 5), "the third call carries the whole history: %v", messages)
-	forged := runner.Message{Role: "assistant", Content: second.Content + "!"}
-	_, err := client.Chat(t.Context(), nodes[0], call("p", 4, user("one"), forged, user("four")))
-	failure := failureOf(t, err)
+	assert.Assert(t, contains(messages, 5), "the third call must carry the full history: %v", messages)
+	altered := runner.Message{Role: "assistant", Content: second.Content + "!"}
+	_, err := client.Chat(t.Context(), nodes[0], newCall("p", 4, userMessage("one"), altered, userMessage("four")))
+	failure := requireFailure(t, err)
 	assert.Equal(t, failure.Code, string(apierr.HistoryConflict))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
 }
@@ -200,16 +199,17 @@
 	return false
 }
 
-// TestOrderOverGateways sends a chain's calls at once, the last first, through different nodes.
-func TestOrderOverGateways(t *testing.T) {
-	system := start(t, 1)
+// TestSequenceOrderAcrossGateways sends a program's calls concurrently, the last one first, through different nodes. They
+// must reach the engine in sequence order.
+func TestSequenceOrderAcrossGateways(t *testing.T) {
+	system := startCluster(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	const calls = 5
 	failures := make([]error, calls)
 	var tasks sync.WaitGroup
 	for sequence := calls; sequence >= 1; sequence-- {
-		request := call("chain", sequence, user(fmt.Sprintf("call %d", sequence)))
+		request := newCall("chain", sequence, userMessage(fmt.Sprintf("call %d", sequence)))
 		request.DeltaHistory = true
 		tasks.Go(func() {
 			_, failures[sequence-1] = client.Chat(t.Context(), system.APIs()[sequence%3], request)
@@ -220,25 +220,25 @@
 		assert.NilError(t, err)
 	}
 	for position, entry := range system.Engines["m1"].Ledger() {
-		assert.Equal(t, entry.Messages, 2*position+1, "call %d reached the engine in place %d", entry.Messages/2+1, position+1)
+		assert.Equal(t, entry.Messages, 2*position+1, "call %d reached the engine at position %d", entry.Messages/2+1, position+1)
 	}
 }
 
-// TestSequenceGapIsRefused: a call whose predecessor never comes is refused as not run.
+// TestSequenceGapIsRefused checks that a call whose predecessor never arrives is refused as not run.
 func TestSequenceGapIsRefused(t *testing.T) {
-	system := start(t, 1)
+	system := startCluster(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	_, err := client.Chat(t.Context(), system.APIs()[0], call("gap", 2, user("x")))
-	failure := failureOf(t, err)
+	_, err := client.Chat(t.Context(), system.APIs()[0], newCall("gap", 2, userMessage("x")))
+	failure := requireFailure(t, err)
 	assert.Equal(t, failure.Code, string(apierr.SequenceGap))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
 	assert.Equal(t, len(system.Engines["m1"].Ledger()), 0)
 }
 
-// TestBudgetHoldsWithSubAgents lets sub-agents race for the parent's budget.
-func TestBudgetHoldsWithSubAgents(t *testing.T) {
-	system := start(t, 2)
+// TestBudgetSharedBySubAgents checks that concurrent sub-agents don't exceed their parent's token budget.
+func TestBudgetSharedBySubAgents(t *testing.T) {
+	system := startCluster(t, 2)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	var mutex sync.Mutex
@@ -246,7 +246,7 @@
 	var tasks sync.WaitGroup
 	for agent := range 40 {
 		tasks.Go(func() {
-			request := call(fmt.Sprintf("feast/agent-%d", agent), 1, user(strings.Repeat("x", 1500)))
+			request := newCall(fmt.Sprintf("feast/agent-%d", agent), 1, userMessage(strings.Repeat("x", 1500)))
 			_, err := client.Chat(t.Context(), system.APIs()[agent%3], request)
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -270,8 +270,8 @@
 	}
 }
 
-// TestEngineLostInMidStream cuts one engine's answers: callers still get one whole answer.
-func TestEngineLostInMidStream(t *testing.T) {
+// TestEngineFailsMidStream breaks one engine's streams: callers must still get one complete answer.
+func TestEngineFailsMidStream(t *testing.T) {
 	faults := map[string]emulator.Faults{
 		"cut":                           {CutAfterTokens: 7},
 		"garbled":                       {GarbleAfterTokens: 7},
@@ -279,14 +279,14 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			system := start(t, 2)
+			system := startCluster(t, 2)
 			system.Engines["m1"].SetFaults(fault)
 			client := runner.NewClient(apiKey)
 			defer client.Close()
 			resumed := 0
 			for number := range 12 {
 				text := fmt.Sprintf("question %d", number)
-				reply := chat(t, client, system.APIs()[number%3], call("", 0, user(text)))
+				reply := mustChat(t, client, system.APIs()[number%3], newCall("", 0, userMessage(text)))
 				expected := emulator.ExpectedAnswer([]json.RawMessage{json.RawMessage(fmt.Sprintf(`{"role":"user","content":%q}`, text))}, 20)
 				assert.Equal(t, reply.Content, expected)
 			}
@@ -295,14 +295,15 @@
 					resumed++
 				}
 			}
-			assert.Assert(t, resumed > 0, "no answer was continued")
+			assert.Assert(t, resumed > 0, "no answer was resumed")
 		})
 	}
 }
 
-// TestNonRepeatableRunsAtMostOnce cuts the answers of back ends that have done the work.
+// TestNonRepeatableRunsAtMostOnce drops the responses of application engines after they ran a non-repeatable call. It must
+// not be run again, and its outcome must be reported as unknown.
 func TestNonRepeatableRunsAtMostOnce(t *testing.T) {
-	system := start(t, 1)
+	system := startCluster(t, 1)
 	for _, application := range system.Applications {
 		application.SetFaults(emulator.ApplicationFaults{CutBeforeAnswer: true})
 	}
@@ -322,9 +323,9 @@
 	}
 }
 
-// TestApplicationAnswersWhole passes methods, bodies, queries and headers, and repeats by key.
-func TestApplicationAnswersWhole(t *testing.T) {
-	system := start(t, 1)
+// TestApplicationCalls checks that application calls pass through and that a repeat with the same key gets the same response.
+func TestApplicationCalls(t *testing.T) {
+	system := startCluster(t, 1)
 	header := map[string]string{"Idempotency-Key": "mark-7", "Connection": "X-Secret", "X-Secret": "hop"}
 	first, text := post(t, system, "/apps/book/marks/7?term=2", "A", header)
 	assert.Equal(t, first.StatusCode, http.StatusOK, text)
@@ -335,18 +336,19 @@
 	assert.Equal(t, missing.StatusCode, http.StatusNotFound)
 }
 
-// TestEndReleasesCache ends programs while an engine refuses to release: it is asked until it does.
+// TestEndReleasesCache ends a program while its engine refuses to release the cache: the release must be retried until it
+// succeeds.
 func TestEndReleasesCache(t *testing.T) {
-	system := start(t, 1)
+	system := startCluster(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	engine := system.Engines["m1"]
 	engine.SetFaults(emulator.Faults{RefuseReleases: true})
-	chat(t, client, system.APIs()[0], call("meal", 1, user(strings.Repeat("tomatoes ", 200))))
+	mustChat(t, client, system.APIs()[0], newCall("meal", 1, userMessage(strings.Repeat("tomatoes ", 200))))
 	assert.Assert(t, engine.Held("school:meal") > 0)
 	assert.NilError(t, client.End(t.Context(), system.APIs()[1], "meal"))
-	_, err := client.Chat(t.Context(), system.APIs()[2], call("meal", 2, user("more")))
-	assert.Equal(t, failureOf(t, err).Code, string(apierr.ProgramEnded))
+	_, err := client.Chat(t.Context(), system.APIs()[2], newCall("meal", 2, userMessage("more")))
+	assert.Equal(t, requireFailure(t, err).Code, string(apierr.ProgramEnded))
 	assert.Assert(t, engine.Held("school:meal") > 0)
 	engine.SetFaults(emulator.Faults{})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -354,15 +356,15 @@
 			return poll.Success()
 		}
 		return poll.Continue("the engine still holds cache")
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(waitTimeout))
 }
 
-// TestTenantsCannotReachEachOther names another tenant's program in every way that there is.
-func TestTenantsCannotReachEachOther(t *testing.T) {
-	system := start(t, 1)
+// TestTenantIsolation requests another tenant's program by its plain, qualified, relative and escaped paths.
+func TestTenantIsolation(t *testing.T) {
+	system := startCluster(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	chat(t, client, system.APIs()[0], call("private", 1, user("secret")))
+	mustChat(t, client, system.APIs()[0], newCall("private", 1, userMessage("secret")))
 	for _, path := range []string{"private", "school:private", "../school/private", "school%2Fprivate"} {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, system.APIs()[0]+"/v1/programs/"+path+"?history=true", nil)
 		assert.NilError(t, err)
@@ -377,32 +379,33 @@
 	}
 }
 
-// TestDrainedEngineGetsNoNewWork publishes a drain and looks at what arrives afterwards.
-func TestDrainedEngineGetsNoNewWork(t *testing.T) {
-	system := start(t, 2)
+// TestDrainedEngineGetsNoCalls checks that an engine gets no new calls once its drain is in force.
+func TestDrainedEngineGetsNoCalls(t *testing.T) {
+	system := startCluster(t, 2)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	result, err := system.Admin.DrainEngine(t.Context(), "models", "m1", false)
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, system.Admin.WaitInForce(ctx, result.Revision))
 	before := len(system.Engines["m1"].Ledger())
 	for number := range 10 {
-		chat(t, client, system.APIs()[number%3], call("", 0, user(fmt.Sprintf("q%d", number))))
+		mustChat(t, client, system.APIs()[number%3], newCall("", 0, userMessage(fmt.Sprintf("q%d", number))))
 	}
 	assert.Equal(t, len(system.Engines["m1"].Ledger()), before)
 	assert.Equal(t, len(system.Engines["m2"].Ledger()), 10)
 }
 
-// TestOverloadIsRefusedAtOnce fills the only engine and its line.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
-	system := start(t, 1)
+// TestOverloadIsRefused fills the slots of the only engine: a further call must be refused as not run at the end of its queue
+// time, with a retry delay.
+func TestOverloadIsRefused(t *testing.T) {
+	system := startCluster(t, 1)
 	short := resources(1)[4]
 	short.Service.QueueSeconds, short.Service.CallSeconds = 0.2, 60
 	yaml, err := resource.Encode([]resource.Resource{short})
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	result, err := system.Admin.Apply(ctx, yaml, adminclient.Change{})
 	assert.NilError(t, err)
@@ -410,19 +413,19 @@
 	system.Engines["m1"].SetFaults(emulator.Faults{Hang: true})
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	hanging, release := context.WithCancel(t.Context())
+	hangCtx, release := context.WithCancel(t.Context())
 	var tasks sync.WaitGroup
 	for number := range 4 {
-		tasks.Go(func() { _, _ = client.Chat(hanging, system.APIs()[number%3], call("", 0, user("hang"))) })
+		tasks.Go(func() { _, _ = client.Chat(hangCtx, system.APIs()[number%3], newCall("", 0, userMessage("hang"))) })
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if len(system.Engines["m1"].Ledger()) == 4 {
 			return poll.Success()
 		}
-		return poll.Continue("the engine is not full yet")
-	}, poll.WithTimeout(patience))
-	_, err = client.Chat(t.Context(), system.APIs()[0], call("", 0, user("late")))
-	failure := failureOf(t, err)
+		return poll.Continue("the engine still has free slots")
+	}, poll.WithTimeout(waitTimeout))
+	_, err = client.Chat(t.Context(), system.APIs()[0], newCall("", 0, userMessage("late")))
+	failure := requireFailure(t, err)
 	assert.Equal(t, failure.Code, string(apierr.Overloaded))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
 	assert.Assert(t, failure.RetryAfter > 0)
@@ -431,12 +434,12 @@
 	assert.Equal(t, len(system.Engines["m1"].Ledger()), 4)
 }
 
-// TestLimitsHoldOverAllNodes lets calls of one tenant race through all nodes.
-func TestLimitsHoldOverAllNodes(t *testing.T) {
-	system := start(t, 2)
+// TestConcurrencyLimitAcrossNodes checks a tenant's concurrency limit with simultaneous calls through all nodes.
+func TestConcurrencyLimitAcrossNodes(t *testing.T) {
+	system := startCluster(t, 2)
 	yaml, err := resource.Encode([]resource.Resource{{Kind: resource.KindLimit, Name: "few", Limit: &resource.Limit{Tenant: "school", Service: "tutor", Concurrent: 3}}})
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	result, err := system.Admin.Apply(ctx, yaml, adminclient.Change{})
 	assert.NilError(t, err)
@@ -446,13 +449,13 @@
 	}
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	hanging, release := context.WithCancel(t.Context())
+	hangCtx, release := context.WithCancel(t.Context())
 	var mutex sync.Mutex
 	refused := 0
 	var tasks sync.WaitGroup
 	for number := range 12 {
 		tasks.Go(func() {
-			_, err := client.Chat(hanging, system.APIs()[number%3], call("", 0, user(fmt.Sprint(number))))
+			_, err := client.Chat(hangCtx, system.APIs()[number%3], newCall("", 0, userMessage(fmt.Sprint(number))))
 			var failure *runner.Failure
 			if errors.As(err, &failure) && failure.Code == string(apierr.LimitExceeded) && failure.Outcome == string(apierr.NotRun) && failure.RetryAfter > 0 {
 				mutex.Lock()
@@ -468,7 +471,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("%d refused", refused)
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(waitTimeout))
 	assert.Assert(t, len(system.Engines["m1"].Ledger())+len(system.Engines["m2"].Ledger()) <= 3)
 	release()
 	tasks.Wait()
@@ -476,9 +479,9 @@
 		engine.SetFaults(emulator.Faults{})
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, err := client.Chat(t.Context(), system.APIs()[0], call("", 0, user("after"))); err != nil {
+		if _, err := client.Chat(t.Context(), system.APIs()[0], newCall("", 0, userMessage("after"))); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(waitTimeout))
 }
--- a/test/path/repeat_test.go
+++ b/test/path/repeat_test.go
@@ -19,12 +19,13 @@
 	"github.com/mountstile/mountstile/internal/lab/runner"
 )
 
-// TestIdempotencyKeyNeverRunsTwice repeats a call while it runs and after it ended.
+// TestIdempotencyKeyNeverRunsTwice repeats a call by its key while it runs and after it has ended. It must run once, and a
+// different body with the same key must be refused.
 func TestIdempotencyKeyNeverRunsTwice(t *testing.T) {
-	system := start(t, 2)
+	system := startCluster(t, 2)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	request := call("", 0, user("once"))
+	request := newCall("", 0, userMessage("once"))
 	request.IdempotencyKey, request.Tokens = "key-1", 200
 	replies := make([]runner.Reply, 6)
 	failures := make([]error, len(replies))
@@ -33,22 +34,22 @@
 		tasks.Go(func() { replies[index], failures[index] = client.Chat(t.Context(), system.APIs()[index%3], request) })
 	}
 	tasks.Wait()
-	late := chat(t, client, system.APIs()[1], request)
+	again := mustChat(t, client, system.APIs()[1], request)
 	for index := range replies {
 		assert.NilError(t, failures[index])
-		assert.Equal(t, replies[index].Content, late.Content)
+		assert.Equal(t, replies[index].Content, again.Content)
 	}
 	assert.Equal(t, len(system.Engines["m1"].Ledger())+len(system.Engines["m2"].Ledger()), 1)
 	changed := request
-	changed.Messages = []runner.Message{user("another body")}
+	changed.Messages = []runner.Message{userMessage("another body")}
 	_, err := client.Chat(t.Context(), system.APIs()[0], changed)
-	assert.Equal(t, failureOf(t, err).Code, string(apierr.IdempotencyConflict))
+	assert.Equal(t, requireFailure(t, err).Code, string(apierr.IdempotencyConflict))
 }
 
-// TestConcurrentRepeatsRunOnce sends the same non-repeatable call several times at one moment, all
-// through the same node: each body is executed once and every caller gets its answer.
+// TestConcurrentRepeatsRunOnce sends the same non-repeatable call several times at once through one node. It must be
+// executed once, and every caller must get its response.
 func TestConcurrentRepeatsRunOnce(t *testing.T) {
-	system := start(t, 1)
+	system := startCluster(t, 1)
 	const keys, repeats = 40, 6
 	statuses := make([][repeats]int, keys)
 	var tasks sync.WaitGroup
@@ -76,13 +77,13 @@
 	}
 }
 
-// TestRepeatFollowsTheRunningAnswer stops the engine in the middle of an answer: a repeat through
-// another node gets what is there, and in the end both have the same whole answer.
-func TestRepeatFollowsTheRunningAnswer(t *testing.T) {
-	system := start(t, 1)
+// TestRepeatFollowsRunningAnswer halts the engine in the middle of an answer. A repeat through another node must get the text
+// so far at once and later the same full answer as the first call.
+func TestRepeatFollowsRunningAnswer(t *testing.T) {
+	system := startCluster(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	request := call("", 0, user("a long story"))
+	request := newCall("", 0, userMessage("a long story"))
 	request.IdempotencyKey, request.Tokens = "story", 300
 	var first runner.Reply
 	var failure error
@@ -93,7 +94,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("no tokens yet")
-	}, poll.WithTimeout(patience), poll.WithDelay(time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(time.Millisecond))
 	system.Engines["m1"].SetFaults(emulator.Faults{Hang: true})
 	body := `{"model":"tutor","messages":[{"role":"user","content":"a long story"}],"max_tokens":300,"min_tokens":300,"stream":true}`
 	repeat, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIs()[1]+"/v1/chat/completions", strings.NewReader(body))
@@ -106,7 +107,7 @@
 	reader := bufio.NewReader(response.Body)
 	line, err := reader.ReadString('\n')
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(line, " 1:"), "the answer so far, while the engine stands still: %s", line)
+	assert.Assert(t, strings.Contains(line, " 1:"), "expected the text so far while the engine hangs: %s", line)
 	system.Engines["m1"].SetFaults(emulator.Faults{})
 	repeated, err := runner.ReadStream(io.MultiReader(strings.NewReader(line), reader))
 	assert.NilError(t, err)
--- a/test/path/stall_test.go
+++ b/test/path/stall_test.go
@@ -14,11 +14,10 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// TestStalledEngineLosesItsCalls stops an engine without closing anything, before the first token of
-// some answers and in the middle of others: callers get whole answers through another engine, long
-// before their calls' time is over.
-func TestStalledEngineLosesItsCalls(t *testing.T) {
-	system := start(t, 2)
+// TestStalledCallsMoveToAnotherEngine hangs an engine with its connections open, before the first token of some answers and
+// in the middle of others. Callers must get complete answers from another engine, long before the call timeout.
+func TestStalledCallsMoveToAnotherEngine(t *testing.T) {
+	system := startCluster(t, 2)
 	service := resource.Resource{Kind: resource.KindService, Name: "tutor", Service: &resource.Service{
 		Type: resource.ServiceModel, Pool: "models", Models: []string{"tutor"}, Tenants: []string{"school"}, MaxTokens: 400,
 		FirstTokenSeconds: 1, StallSeconds: 0.5, CallSeconds: 3600, MaxAttempts: 10,
@@ -37,7 +36,7 @@
 	}
 	outcomes := make(chan outcome, calls)
 	send := func(number int) {
-		request := call("", 0, user(fmt.Sprintf("question %d", number)))
+		request := newCall("", 0, userMessage(fmt.Sprintf("question %d", number)))
 		request.Tokens = 100
 		go func() {
 			reply, err := client.Chat(t.Context(), system.APIs()[number%3], request)
@@ -51,8 +50,8 @@
 		if system.Engines["m1"].Stats().Tokens > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("m1 has not begun yet")
-	}, poll.WithTimeout(patience))
+		return poll.Continue("m1 has sent no token yet")
+	}, poll.WithTimeout(waitTimeout))
 	system.Engines["m1"].SetFaults(emulator.Faults{Hang: true})
 	for number := calls / 2; number < calls; number++ {
 		send(number)
