--- a/test/process/address_test.go
+++ b/test/process/address_test.go
@@ -10,15 +10,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// portRangeFile is where Linux tells which ports it gives to whoever asks for any.
+// portRangeFile holds the range from which Linux assigns ephemeral ports.
 const portRangeFile = "/proc/sys/net/ipv4/ip_local_port_range"
 
-// A process listens some time after its address was chosen. A port that the system gives to others may have gone by then to a
-// program that listens on all hosts, and the process ends at its start.
-func TestAddressesAreNotGivenToOthers(t *testing.T) {
+// TestFreeAddressAvoidsEphemeralPorts checks that freeAddress picks ports below the ephemeral range. A process listens some time
+// after its address was chosen; until then, the system may give an ephemeral port to a program that listens on all hosts.
+func TestFreeAddressAvoidsEphemeralPorts(t *testing.T) {
 	content, err := os.ReadFile(portRangeFile)
 	if err != nil {
-		t.Skipf("no Linux: %s", err)
+		t.Skipf("not on Linux: %s", err)
 	}
 	lowest, err := strconv.Atoi(strings.Fields(string(content))[0])
 	assert.NilError(t, err)
@@ -27,6 +27,6 @@
 		assert.NilError(t, err)
 		number, err := strconv.Atoi(port)
 		assert.NilError(t, err)
-		assert.Assert(t, number < lowest, "port %d, of %d and up for others", number, lowest)
+		assert.Assert(t, number < lowest, "port %d is in the ephemeral range, which begins at %d", number, lowest)
 	}
 }
--- a/test/process/harness_test.go
+++ b/test/process/harness_test.go
@@ -1,5 +1,5 @@
-// Package process_test runs the real binaries as processes behind a fault-injecting proxy, and
-// compares what callers were told with what the engines saw.
+// Package process_test runs the binaries as processes behind a fault-injecting proxy and compares the results that callers got
+// with the calls that reached the engines.
 package process_test
 
 import (
@@ -38,11 +38,11 @@
 const (
 	secret = "test-secret"
 	apiKey = "school.k." + secret
-	// tokenBudget is a program's.
+	// tokenBudget is the budget of each program.
 	tokenBudget = 50000
 	adminKey    = "platform.a." + secret
-	// patience is how long a condition may take on a busy machine; it is no measure of speed.
-	patience = 60 * time.Second
+	// waitTimeout bounds each wait for a condition; it allows for a busy machine.
+	waitTimeout = 60 * time.Second
 )
 
 var binaries string
@@ -63,23 +63,23 @@
 	os.Exit(code)
 }
 
-// hosts numbers the loopback addresses that this run has given out.
+// hosts counts the loopback addresses that this run has handed out.
 var hosts atomic.Int64
 
 const (
-	// Runs at the same time differ in the last digits of their process's number, which choose the host, or in those before, which
-	// choose the port.
+	// Concurrent runs differ in the last digits of their process id, which select the host, or in the digits before, which
+	// select the port.
 	hostsOfRuns = 100
-	// lowestPort and portCount lie below the ports that Linux gives to whoever asks for any (32768 to 60999, ip_local_port_range).
-	// One of those is taken meanwhile by a program that listens on all hosts.
+	// The ports from lowestPort on lie below Linux's ephemeral range (ip_local_port_range): an ephemeral port could be taken by a
+	// program that listens on all hosts before the process listens on it.
 	lowestPort = 12000
 	portCount  = 20000
-	// portTries is how many ports are tried, because another program may have been given one of its own.
+	// portTries is how many ports are tried, since other programs may use some of them.
 	portTries = 100
 )
 
-// freeAddress returns an address for a process to listen on. Each is on a loopback host of its own,
-// so that neither another test nor an outgoing connection can take the port meanwhile.
+// freeAddress returns an address for a process to listen on. Each has its own loopback host, so that no other test or outgoing
+// connection can take the port before the process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	number := hosts.Add(1)
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// daemon is one process of the system.
+// daemon is one process of a test cluster.
 type daemon struct {
 	command *exec.Cmd
 	output  *bytes.Buffer
@@ -120,15 +120,15 @@
 		started.signal(syscall.SIGCONT)
 		started.kill()
 		if t.Failed() {
-			started.keepOutput(t)
+			started.saveOutput(t)
 		}
 	})
 	return started
 }
 
-// keepOutput keeps what a process of a failed test has logged, so that a failure that shows once can be traced: in a file that
-// outlives the run, or in the test's own output where MOUNTSTILE_TEST_LOGS is set.
-func (d *daemon) keepOutput(t *testing.T) {
+// saveOutput saves the log of a failed test's process, since the failure may not reproduce. It writes a file that outlives the run
+// or, if MOUNTSTILE_TEST_LOGS is set, the test's log.
+func (d *daemon) saveOutput(t *testing.T) {
 	t.Helper()
 	if os.Getenv("MOUNTSTILE_TEST_LOGS") != "" {
 		t.Logf("%v:\n%s", d.command.Args, d.output)
@@ -136,12 +136,12 @@
 	}
 	file, err := os.CreateTemp("", "mountstile-failed-"+strings.ReplaceAll(t.Name(), "/", "-")+"-*.log")
 	if err != nil {
-		t.Logf("the output of %v is lost: %s", d.command.Args, err)
+		t.Logf("saving the output of %v: %s", d.command.Args, err)
 		return
 	}
 	defer func() { _ = file.Close() }()
 	if _, err := file.Write(d.output.Bytes()); err != nil {
-		t.Logf("the output of %v is cut: %s", d.command.Args, err)
+		t.Logf("the saved output of %v is incomplete: %s", d.command.Args, err)
 	}
 	t.Logf("the output of %v is in %s", d.command.Args, file.Name())
 }
@@ -153,8 +153,8 @@
 	<-d.exited
 }
 
-// system is a store, engines and nodes as processes.
-type system struct {
+// testCluster is a configuration store, engines and nodes, each a process of its own.
+type testCluster struct {
 	t       *testing.T
 	store   string
 	proxies *toxiproxy.ApiServer
@@ -170,34 +170,34 @@
 	file   string
 }
 
-func (n *nodeProcess) api() string { return "http://" + n.config.API.Listen }
+func (n *nodeProcess) apiURL() string { return "http://" + n.config.API.Listen }
 
-// startSystem brings up nodes in zones a, b, c in turn, each pair linked through its own proxy.
-func startSystem(t *testing.T, nodes, engines int, adjust ...func(*settings.Settings)) *system {
+// startCluster starts nodes in the zones a, b and c in turn; each pair is linked through a proxy of its own.
+func startCluster(t *testing.T, nodes, engines int, adjust ...func(*settings.Settings)) *testCluster {
 	t.Helper()
 	t.Parallel()
-	running := &system{t: t, engines: make(map[string]string), links: make(map[[2]int]*toxiproxy.Proxy)}
-	running.proxies = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
-	running.store = running.standIn("configstore")
+	cluster := &testCluster{t: t, engines: make(map[string]string), links: make(map[[2]int]*toxiproxy.Proxy)}
+	cluster.proxies = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
+	cluster.store = cluster.standIn("configstore")
 	pool := &resource.Pool{}
 	for number := range engines {
 		name := fmt.Sprintf("m%d", number+1)
-		running.engines[name] = running.standIn("engine")
-		pool.Engines = append(pool.Engines, resource.Engine{Name: name, URL: running.engines[name], Slots: 8})
+		cluster.engines[name] = cluster.standIn("engine")
+		pool.Engines = append(pool.Engines, resource.Engine{Name: name, URL: cluster.engines[name], Slots: 8})
 	}
-	running.engines["book"] = running.standIn("application")
-	running.configure(nodes, adjust)
-	for _, item := range running.nodes {
+	cluster.engines["book"] = cluster.standIn("application")
+	cluster.configure(nodes, adjust)
+	for _, item := range cluster.nodes {
 		item.daemon = startDaemon(t, "mountstile", "node", "--settings", item.file)
 	}
-	running.admin = adminclient.New("http://"+running.nodes[0].config.Admin.Listen, adminKey)
-	running.publish(pool)
-	return running
+	cluster.admin = adminclient.New("http://"+cluster.nodes[0].config.Admin.Listen, adminKey)
+	cluster.publish(pool)
+	return cluster
 }
 
-// standIn starts a stand-in and returns its address.
-func (s *system) standIn(kind string, arguments ...string) string {
-	return startStandIn(s.t, kind, arguments...)
+// standIn starts a stand-in for an external service and returns its URL.
+func (c *testCluster) standIn(kind string, arguments ...string) string {
+	return startStandIn(c.t, kind, arguments...)
 }
 
 func startStandIn(t *testing.T, kind string, arguments ...string) string {
@@ -215,14 +215,14 @@
 	return "http://" + address
 }
 
-// configure writes the settings files: each node dials each other one through a proxy of its own.
-func (s *system) configure(count int, adjust []func(*settings.Settings)) {
-	folder := s.t.TempDir()
+// configure writes the settings files, in which each node dials each peer through a proxy of its own.
+func (c *testCluster) configure(count int, adjust []func(*settings.Settings)) {
+	folder := c.t.TempDir()
 	for number := range count {
 		config := settings.Default()
 		config.Name, config.Zone = fmt.Sprintf("n%d", number+1), string(rune('a'+number%3))
-		config.Peer.Listen, config.API.Listen, config.Admin.Listen = freeAddress(s.t), freeAddress(s.t), freeAddress(s.t)
-		config.Store.Endpoint, config.Store.TimeoutSeconds = s.store, 2
+		config.Peer.Listen, config.API.Listen, config.Admin.Listen = freeAddress(c.t), freeAddress(c.t), freeAddress(c.t)
+		config.Store.Endpoint, config.Store.TimeoutSeconds = c.store, 2
 		config.TLS.Insecure = true
 		config.InitialNodes, config.Partitions, config.RepairSeconds = count, 6, 3
 		config.AdminKeys = []resource.APIKey{resource.NewAPIKey("a", secret, resource.RoleOperator)}
@@ -230,59 +230,59 @@
 		for _, change := range adjust {
 			change(&config)
 		}
-		s.nodes = append(s.nodes, &nodeProcess{config: config, file: filepath.Join(folder, config.Name+".yaml")})
+		c.nodes = append(c.nodes, &nodeProcess{config: config, file: filepath.Join(folder, config.Name+".yaml")})
 	}
-	for from, source := range s.nodes {
-		for to, target := range s.nodes {
+	for from, source := range c.nodes {
+		for to, target := range c.nodes {
 			if from == to {
 				continue
 			}
-			link := toxiproxy.NewProxy(s.proxies, fmt.Sprintf("%d-%d", from, to), "127.0.0.1:0", target.config.Peer.Listen)
-			assert.NilError(s.t, link.Start())
-			s.t.Cleanup(link.Stop)
-			s.links[[2]int{from, to}] = link
+			link := toxiproxy.NewProxy(c.proxies, fmt.Sprintf("%d-%d", from, to), "127.0.0.1:0", target.config.Peer.Listen)
+			assert.NilError(c.t, link.Start())
+			c.t.Cleanup(link.Stop)
+			c.links[[2]int{from, to}] = link
 			source.config.Routes[target.config.Peer.Listen] = link.Listen
 			source.config.Seeds = append(source.config.Seeds, target.config.Peer.Listen)
 		}
 		content, err := yaml.Marshal(source.config)
-		assert.NilError(s.t, err)
-		assert.NilError(s.t, os.WriteFile(source.file, content, 0o600))
+		assert.NilError(c.t, err)
+		assert.NilError(c.t, os.WriteFile(source.file, content, 0o600))
 	}
 }
 
-// publish applies the test's configuration and waits until every node serves.
-func (s *system) publish(pool *resource.Pool) {
+// publish applies the test's configuration and waits until every node is ready.
+func (c *testCluster) publish(pool *resource.Pool) {
 	resources := []resource.Resource{
 		{Kind: resource.KindTenant, Name: "school", Tenant: &resource.Tenant{Keys: []resource.APIKey{resource.NewAPIKey("k", secret, resource.RoleOperator)}, ProgramTokenBudget: tokenBudget}},
 		{Kind: resource.KindPool, Name: "models", Pool: pool},
-		{Kind: resource.KindPool, Name: "books", Pool: &resource.Pool{Engines: []resource.Engine{{Name: "book", URL: s.engines["book"], Slots: 8}}}},
-		{Kind: resource.KindService, Name: "tutor", Service: &resource.Service{Type: resource.ServiceModel, Pool: "models", Models: []string{"tutor"}, Tenants: []string{"school"}, MaxTokens: 1000, StallSeconds: patience.Seconds()}},
+		{Kind: resource.KindPool, Name: "books", Pool: &resource.Pool{Engines: []resource.Engine{{Name: "book", URL: c.engines["book"], Slots: 8}}}},
+		{Kind: resource.KindService, Name: "tutor", Service: &resource.Service{Type: resource.ServiceModel, Pool: "models", Models: []string{"tutor"}, Tenants: []string{"school"}, MaxTokens: 1000, StallSeconds: waitTimeout.Seconds()}},
 		{Kind: resource.KindService, Name: "book", Service: &resource.Service{Type: resource.ServiceApplication, Pool: "books", Tenants: []string{"school"}}},
 	}
-	s.apply(resources)
-	for index := range s.nodes {
-		s.waitReady(index)
+	c.apply(resources)
+	for index := range c.nodes {
+		c.waitReady(index)
 	}
 }
 
-func (s *system) apply(resources []resource.Resource) uint64 {
+func (c *testCluster) apply(resources []resource.Resource) uint64 {
 	content, err := resource.Encode(resources)
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	var revision uint64
-	s.waitFor("publishing", func() bool {
-		result, err := s.admin.Apply(context.Background(), content, adminclient.Change{ID: s.t.Name()})
+	c.waitFor("publishing", func() bool {
+		result, err := c.admin.Apply(context.Background(), content, adminclient.Change{ID: c.t.Name()})
 		revision = result.Revision
 		return err == nil
 	})
 	return revision
 }
 
-func (s *system) waitReady(index int) {
-	s.waitFor(fmt.Sprintf("node %d to be ready", index), func() bool { return s.isReady(index) })
+func (c *testCluster) waitReady(index int) {
+	c.waitFor(fmt.Sprintf("node %d to be ready", index), func() bool { return c.isReady(index) })
 }
 
-func (s *system) isReady(index int) bool {
-	response, err := http.Get("http://" + s.nodes[index].config.Admin.Listen + "/readyz")
+func (c *testCluster) isReady(index int) bool {
+	response, err := http.Get("http://" + c.nodes[index].config.Admin.Listen + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -290,25 +290,25 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// sees reports whether the first node knows a member of that name, and holds it for alive or not.
-func (s *system) sees(name string, alive bool) bool {
-	return s.seenBy(0, name, alive)
+// hasMember is nodeHasMember for the first node.
+func (c *testCluster) hasMember(name string, usable bool) bool {
+	return c.nodeHasMember(0, name, usable)
 }
 
-// newNode starts a further node.
-func (s *system) newNode(config settings.Settings) *nodeProcess {
-	started := &nodeProcess{config: config, file: filepath.Join(s.t.TempDir(), config.Name+".yaml")}
+// newNode starts an additional node.
+func (c *testCluster) newNode(config settings.Settings) *nodeProcess {
+	started := &nodeProcess{config: config, file: filepath.Join(c.t.TempDir(), config.Name+".yaml")}
 	content, err := yaml.Marshal(config)
-	assert.NilError(s.t, err)
-	assert.NilError(s.t, os.WriteFile(started.file, content, 0o600))
-	started.daemon = startDaemon(s.t, "mountstile", "node", "--settings", started.file)
+	assert.NilError(c.t, err)
+	assert.NilError(c.t, os.WriteFile(started.file, content, 0o600))
+	started.daemon = startDaemon(c.t, "mountstile", "node", "--settings", started.file)
 	return started
 }
 
-// waitFor polls a condition.
-func (s *system) waitFor(what string, done func() bool) {
-	s.t.Helper()
-	waitFor(s.t, what, done)
+// waitFor polls a condition until it holds or waitTimeout passes.
+func (c *testCluster) waitFor(what string, done func() bool) {
+	c.t.Helper()
+	waitFor(c.t, what, done)
 }
 
 func waitFor(t *testing.T, what string, done func() bool) {
@@ -318,28 +318,28 @@
 			return poll.Success()
 		}
 		return poll.Continue("waiting for %s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(50*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(50*time.Millisecond))
 }
 
 // restart starts a killed node again with the same settings.
-func (s *system) restart(index int) {
-	s.nodes[index].daemon = startDaemon(s.t, "mountstile", "node", "--settings", s.nodes[index].file)
-	s.waitReady(index)
+func (c *testCluster) restart(index int) {
+	c.nodes[index].daemon = startDaemon(c.t, "mountstile", "node", "--settings", c.nodes[index].file)
+	c.waitReady(index)
 }
 
-// waitRepaired waits until the nodes that run now are the members, each in its own word, and every
-// partition has a leader and would survive the loss of a node.
-func (s *system) waitRepaired() {
-	s.t.Helper()
+// waitRepaired waits until exactly the running nodes are usable members and report their status, and every partition has a
+// leader and could lose a node.
+func (c *testCluster) waitRepaired() {
+	c.t.Helper()
 	var status admin.ClusterStatus
 	var err error
 	defer func() {
-		if s.t.Failed() {
-			s.logStatus(status, err)
+		if c.t.Failed() {
+			c.logStatus(status, err)
 		}
 	}()
-	s.waitFor("the partitions to be repaired", func() bool {
-		status, err = s.admin.Status(context.Background())
+	c.waitFor("the partitions to be repaired", func() bool {
+		status, err = c.admin.Status(context.Background())
 		if err != nil {
 			return false
 		}
@@ -354,69 +354,69 @@
 				unrepaired += member.Node.Unrepaired
 			}
 		}
-		return usable == len(s.nodes) && answered == len(s.nodes) && leads == s.nodes[0].config.Partitions && unrepaired == 0
+		return usable == len(c.nodes) && answered == len(c.nodes) && leads == c.nodes[0].config.Partitions && unrepaired == 0
 	})
 }
 
-// logStatus shows what the members last said, or why they did not.
-func (s *system) logStatus(status admin.ClusterStatus, failure error) {
-	s.t.Helper()
+// logStatus logs the members' last status, or the error if there is none.
+func (c *testCluster) logStatus(status admin.ClusterStatus, failure error) {
+	c.t.Helper()
 	if failure != nil {
-		s.t.Logf("no status: %s", failure)
+		c.t.Logf("no status: %s", failure)
 		return
 	}
 	for _, member := range status.Members {
 		encoded, err := json.Marshal(member)
-		assert.Check(s.t, err)
-		s.t.Logf("%s", encoded)
+		assert.Check(c.t, err)
+		c.t.Logf("%s", encoded)
 	}
 }
 
-// cut blocks the traffic from one node to another; the other direction goes on.
-func (s *system) cut(from, to int) {
-	s.blackHole(s.links[[2]int{from, to}], "upstream")
-	s.blackHole(s.links[[2]int{to, from}], "downstream")
+// block drops the traffic from one node to another; the reverse direction still works.
+func (c *testCluster) block(from, to int) {
+	c.addTimeoutToxic(c.links[[2]int{from, to}], "upstream")
+	c.addTimeoutToxic(c.links[[2]int{to, from}], "downstream")
 }
 
-func (s *system) blackHole(link *toxiproxy.Proxy, stream string) {
+func (c *testCluster) addTimeoutToxic(link *toxiproxy.Proxy, stream string) {
 	toxic := fmt.Sprintf(`{"name":"cut-%s","type":"timeout","stream":%q,"toxicity":1,"attributes":{"timeout":0}}`, stream, stream)
 	_, err := link.Toxics.AddToxicJson(strings.NewReader(toxic))
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 }
 
-// slow delays all traffic between nodes.
-func (s *system) slow(milliseconds int) {
-	for _, link := range s.links {
+// delayLinks delays all traffic between nodes.
+func (c *testCluster) delayLinks(milliseconds int) {
+	for _, link := range c.links {
 		toxic := fmt.Sprintf(`{"name":"slow","type":"latency","stream":"downstream","toxicity":1,"attributes":{"latency":%d,"jitter":%d}}`, milliseconds, milliseconds/2)
 		_, err := link.Toxics.AddToxicJson(strings.NewReader(toxic))
-		assert.NilError(s.t, err)
+		assert.NilError(c.t, err)
 	}
 }
 
-// heal ends all network faults.
-func (s *system) heal() {
-	for _, link := range s.links {
+// clearNetworkFaults removes all network faults.
+func (c *testCluster) clearNetworkFaults() {
+	for _, link := range c.links {
 		link.Toxics.ResetToxics(context.Background())
 	}
 }
 
-// storeFaults switches the store's failures.
-func (s *system) storeFaults(faults storeserver.Faults) {
-	s.put(s.store+storeserver.FaultsPath, faults)
+// storeFaults sets the faults of the configuration store.
+func (c *testCluster) storeFaults(faults storeserver.Faults) {
+	c.putJSON(c.store+storeserver.FaultsPath, faults)
 }
 
-func (s *system) put(address string, value any) {
-	s.t.Helper()
+func (c *testCluster) putJSON(address string, value any) {
+	c.t.Helper()
 	body, err := json.Marshal(value)
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	request, err := http.NewRequest(http.MethodPut, address, bytes.NewReader(body))
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	response, err := http.DefaultClient.Do(request)
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 	_ = response.Body.Close()
 }
 
-func fetch[Value any](t *testing.T, address string) Value {
+func getJSON[Value any](t *testing.T, address string) Value {
 	t.Helper()
 	response, err := http.Get(address)
 	assert.NilError(t, err)
@@ -428,51 +428,51 @@
 	return value
 }
 
-// ledger returns what reached the model engines.
-func (s *system) ledger() []emulator.LedgerEntry {
+// ledger returns the calls that reached the model engines.
+func (c *testCluster) ledger() []emulator.LedgerEntry {
 	var all []emulator.LedgerEntry
-	for name, address := range s.engines {
+	for name, address := range c.engines {
 		if name != "book" {
-			all = append(all, fetch[[]emulator.LedgerEntry](s.t, address+emulator.LedgerPath)...)
+			all = append(all, getJSON[[]emulator.LedgerEntry](c.t, address+emulator.LedgerPath)...)
 		}
 	}
 	return all
 }
 
-// marks returns how often each body was executed by the application engine.
-func (s *system) marks() map[string]int {
+// marks returns how often the application engine executed each body.
+func (c *testCluster) marks() map[string]int {
 	counts := make(map[string]int)
-	for _, entry := range fetch[[]emulator.ApplicationEntry](s.t, s.engines["book"]+emulator.LedgerPath) {
+	for _, entry := range getJSON[[]emulator.ApplicationEntry](c.t, c.engines["book"]+emulator.LedgerPath) {
 		counts[entry.Body]++
 	}
 	return counts
 }
 
-// conversation is a caller with one program.
+// conversation is a caller that runs one program turn by turn.
 type conversation struct {
-	system   *system
-	client   *runner.Client
-	name     string
-	messages []runner.Message
-	turn     int
+	testCluster *testCluster
+	client      *runner.Client
+	name        string
+	messages    []runner.Message
+	turn        int
 }
 
-func (s *system) converse(client *runner.Client, name string) *conversation {
-	return &conversation{system: s, client: client, name: name}
+func (c *testCluster) newConversation(client *runner.Client, name string) *conversation {
+	return &conversation{testCluster: c, client: client, name: name}
 }
 
-// say makes the next call through a node, and through others while that is safe to repeat.
-func (c *conversation) say(ctx context.Context, node int, tokens int) (runner.Reply, error) {
+// send sends the next turn through a node and retries it through the others, with the same idempotency key, until waitTimeout.
+func (c *conversation) send(ctx context.Context, node int, tokens int) (runner.Reply, error) {
 	c.turn++
-	c.messages = append(c.messages, runner.Message{Role: "user", Content: fmt.Sprintf("%s says %d", c.name, c.turn)})
+	c.messages = append(c.messages, runner.Message{Role: "user", Content: fmt.Sprintf("%s turn %d", c.name, c.turn)})
 	request := runner.Call{
 		Program: c.name, Sequence: c.turn, IdempotencyKey: fmt.Sprintf("%s-%d", c.name, c.turn),
 		Model: "tutor", Messages: c.messages, Tokens: tokens,
 	}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for try := 0; ; try++ {
-		attempt, cancel := context.WithTimeout(ctx, patience/2)
-		reply, err := c.client.Chat(attempt, c.system.nodes[(node+try)%len(c.system.nodes)].api(), request)
+		attemptCtx, cancel := context.WithTimeout(ctx, waitTimeout/2)
+		reply, err := c.client.Chat(attemptCtx, c.testCluster.nodes[(node+try)%len(c.testCluster.nodes)].apiURL(), request)
 		cancel()
 		if err == nil {
 			c.messages = append(c.messages, runner.Message{Role: "assistant", Content: reply.Content})
@@ -481,11 +481,11 @@
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return reply, err
 		}
-		pauseFor(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 }
 
-func pauseFor(ctx context.Context, duration time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -494,55 +494,54 @@
 	}
 }
 
-// crowd lets many conversations talk at once while something happens to the system.
-func (s *system) crowd(count, turns int, disturb func()) {
-	s.t.Helper()
+// converseDuring runs conversations concurrently, causes a fault once their calls are in flight, and checks all answers.
+func (c *testCluster) converseDuring(count, turns int, causeFault func()) {
+	c.t.Helper()
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	failures := make([]error, count)
 	conversations := make([]*conversation, count)
 	var tasks sync.WaitGroup
 	for number := range count {
-		conversations[number] = s.converse(client, fmt.Sprintf("p%d", number))
+		conversations[number] = c.newConversation(client, fmt.Sprintf("p%d", number))
 		tasks.Go(func() {
 			for turn := range turns {
-				if _, failures[number] = conversations[number].say(context.Background(), number+turn, 60); failures[number] != nil {
+				if _, failures[number] = conversations[number].send(context.Background(), number+turn, 60); failures[number] != nil {
 					return
 				}
 			}
 		})
 	}
-	s.waitFor("calls in flight", func() bool { return len(s.ledger()) > count })
-	disturb()
+	c.waitFor("calls in flight", func() bool { return len(c.ledger()) > count })
+	causeFault()
 	tasks.Wait()
 	for _, err := range failures {
-		assert.NilError(s.t, err)
+		assert.NilError(c.t, err)
 	}
-	s.checkConversations(conversations)
+	c.checkConversations(conversations)
 }
 
-// checkConversations compares each caller's answers with what its messages must give, and the
-// order in which its calls reached the engines.
-func (s *system) checkConversations(conversations []*conversation) {
-	s.t.Helper()
+// checkConversations checks each conversation's answers against its messages, and that its calls reached each engine in order.
+func (c *testCluster) checkConversations(conversations []*conversation) {
+	c.t.Helper()
 	for _, item := range conversations {
 		for index := 1; index < len(item.messages); index += 2 {
 			var prompt []json.RawMessage
 			for _, message := range item.messages[:index] {
 				encoded, err := json.Marshal(message)
-				assert.NilError(s.t, err)
+				assert.NilError(c.t, err)
 				prompt = append(prompt, encoded)
 			}
-			assert.Equal(s.t, item.messages[index].Content, emulator.ExpectedAnswer(prompt, 60), "%s, message %d", item.name, index)
+			assert.Equal(c.t, item.messages[index].Content, emulator.ExpectedAnswer(prompt, 60), "%s, message %d", item.name, index)
 		}
 	}
-	for name, address := range s.engines {
+	for name, address := range c.engines {
 		if name == "book" {
 			continue
 		}
 		last := make(map[string]int)
-		for _, entry := range fetch[[]emulator.LedgerEntry](s.t, address+emulator.LedgerPath) {
-			assert.Assert(s.t, entry.Messages >= last[entry.Program], "%s: %s went back from %d to %d messages", name, entry.Program, last[entry.Program], entry.Messages)
+		for _, entry := range getJSON[[]emulator.LedgerEntry](c.t, address+emulator.LedgerPath) {
+			assert.Assert(c.t, entry.Messages >= last[entry.Program], "%s: the history of %s shrank from %d to %d messages", name, entry.Program, last[entry.Program], entry.Messages)
 			last[entry.Program] = entry.Messages
 		}
 	}
--- a/test/process/torture_test.go
+++ b/test/process/torture_test.go
@@ -19,165 +19,162 @@
 	"github.com/mountstile/mountstile/internal/standin/storeserver"
 )
 
-// A longer run: go test ./test/process -run TestTorture -args -torture.faults 100 -torture.seed 7
+// For a longer run: go test ./test/process -run TestTorture -args -torture.faults 100 -torture.seed 7
 var (
-	tortureFaults = flag.Int("torture.faults", 6, "how many failures TestTorture causes")
-	tortureSeed   = flag.Uint64("torture.seed", 1, "seed of TestTorture's failures")
+	tortureFaults = flag.Int("torture.faults", 6, "number of faults that TestTorture injects")
+	tortureSeed   = flag.Uint64("torture.seed", 1, "seed of TestTorture's faults")
 )
 
 const (
 	tortureNodes   = 5
 	tortureCallers = 8
 	tortureTurns   = 6
-	// tortureProgress is how many calls reach engines while a failure lasts.
+	// tortureProgress is the minimum number of calls that reach engines during a fault.
 	tortureProgress = 12
 )
 
-// torture is a system under callers, whose failures are drawn from a seed.
+// torture is a cluster under load with faults drawn from a seed.
 type torture struct {
-	*system
-	random *rand.Rand
-	caused map[string]int
+	*testCluster
+	random   *rand.Rand
+	injected map[string]int
 
 	stopped       atomic.Bool
 	mutex         sync.Mutex
 	conversations []*conversation
-	told          map[string]string
+	reported      map[string]string
 	failures      []error
 }
 
-// TestTorture lets nodes die, pause and lose each other, engines fail and the store go, at random from
-// a seed, while callers hold conversations and record marks; then it compares what callers were told
-// with what the engines saw.
+// TestTorture injects random faults of nodes, links, engines and the store while callers run conversations and record marks.
+// Then it compares the results that callers got with the calls that reached the engines.
 func TestTorture(t *testing.T) {
-	running := &torture{system: startSystem(t, tortureNodes, 3), random: rand.New(rand.NewPCG(*tortureSeed, 1)), caused: make(map[string]int), told: make(map[string]string)}
+	cluster := &torture{testCluster: startCluster(t, tortureNodes, 3), random: rand.New(rand.NewPCG(*tortureSeed, 1)), injected: make(map[string]int), reported: make(map[string]string)}
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	var callers sync.WaitGroup
 	for number := range tortureCallers {
-		callers.Go(func() { running.call(client, number) })
+		callers.Go(func() { cluster.runCaller(client, number) })
 	}
 	for range *tortureFaults {
-		running.fault()
+		cluster.injectFault()
 	}
-	running.stopped.Store(true)
+	cluster.stopped.Store(true)
 	callers.Wait()
-	for _, err := range running.failures {
+	for _, err := range cluster.failures {
 		assert.NilError(t, err)
 	}
-	running.checkConversations(running.conversations)
-	running.checkMarks(running.told)
-	running.checkPrograms()
-	t.Logf("seed %d: %d programs, %d marks, failures %v", *tortureSeed, len(running.conversations), len(running.told), running.caused)
+	cluster.checkConversations(cluster.conversations)
+	cluster.checkMarks(cluster.reported)
+	cluster.checkPrograms()
+	t.Logf("seed %d: %d programs, %d marks, faults %v", *tortureSeed, len(cluster.conversations), len(cluster.reported), cluster.injected)
 }
 
-// call holds one conversation after the other until the torture stops.
-func (r *torture) call(client *runner.Client, number int) {
+// runCaller runs conversations one after the other until the torture stops.
+func (r *torture) runCaller(client *runner.Client, number int) {
 	random := rand.New(rand.NewPCG(*tortureSeed, uint64(100+number)))
 	for count := 0; !r.stopped.Load(); count++ {
-		item := r.converse(client, fmt.Sprintf("c%d-p%d", number, count))
+		item := r.newConversation(client, fmt.Sprintf("c%d-p%d", number, count))
 		r.mutex.Lock()
 		r.conversations = append(r.conversations, item)
 		r.mutex.Unlock()
 		for turn := range 1 + random.IntN(tortureTurns) {
-			if _, err := item.say(context.Background(), random.IntN(tortureNodes), 60); err != nil {
+			if _, err := item.send(context.Background(), random.IntN(tortureNodes), 60); err != nil {
 				r.mutex.Lock()
 				r.failures = append(r.failures, err)
 				r.mutex.Unlock()
 				return
 			}
 			body := fmt.Sprintf("%s mark %d", item.name, turn)
-			outcome := recordMark(r.system, random.IntN(tortureNodes), body)
+			outcome := recordMark(r.testCluster, random.IntN(tortureNodes), body)
 			r.mutex.Lock()
-			r.told[body] = outcome
+			r.reported[body] = outcome
 			r.mutex.Unlock()
 		}
-		_ = client.End(context.Background(), r.nodes[random.IntN(tortureNodes)].api(), item.name)
+		_ = client.End(context.Background(), r.nodes[random.IntN(tortureNodes)].apiURL(), item.name)
 	}
 }
 
-// fault causes one failure, lets callers make progress under it, ends it, and waits until the
-// partitions would bear the next one.
-func (r *torture) fault() {
+// injectFault causes a random fault, lets callers make progress, ends the fault and waits until the partitions are repaired.
+func (r *torture) injectFault() {
 	kinds := []struct {
 		name  string
 		cause func(node, other int)
 	}{
 		{"killed", func(node, _ int) {
 			r.nodes[node].kill()
-			r.progress()
+			r.waitForProgress()
 			r.restart(node)
 		}},
 		{"paused", func(node, other int) {
 			r.nodes[node].signal(syscall.SIGSTOP)
-			r.waitFor("the paused node to count as dead", func() bool { return r.seenBy(other, r.nodes[node].config.Name, false) })
+			r.waitFor("the paused node to become unusable", func() bool { return r.nodeHasMember(other, r.nodes[node].config.Name, false) })
 			r.nodes[node].signal(syscall.SIGCONT)
 		}},
 		{"cut one way", func(node, other int) {
-			r.cut(node, other)
-			r.progress()
+			r.block(node, other)
+			r.waitForProgress()
 		}},
 		{"cut off", func(node, _ int) {
 			for peer := range r.nodes {
 				if peer != node {
-					r.cut(node, peer)
-					r.cut(peer, node)
+					r.block(node, peer)
+					r.block(peer, node)
 				}
 			}
-			r.progress()
+			r.waitForProgress()
 		}},
 		{"slow links", func(int, int) {
-			r.slow(40)
-			r.progress()
+			r.delayLinks(40)
+			r.waitForProgress()
 		}},
-		{"engine cuts answers", func(node, _ int) { r.engineFault(node, emulator.Faults{CutAfterTokens: 5}) }},
-		{"engine sends garbage", func(node, _ int) { r.engineFault(node, emulator.Faults{GarbleAfterTokens: 5}) }},
+		{"engine cuts answers", func(node, _ int) { r.injectEngineFault(node, emulator.Faults{CutAfterTokens: 5}) }},
+		{"engine sends garbage", func(node, _ int) { r.injectEngineFault(node, emulator.Faults{GarbleAfterTokens: 5}) }},
 		{"store down", func(int, int) {
 			r.storeFaults(storeserver.Faults{Down: true})
-			r.progress()
+			r.waitForProgress()
 			r.storeFaults(storeserver.Faults{})
 		}},
 	}
 	kind := kinds[r.random.IntN(len(kinds))]
 	node := r.random.IntN(tortureNodes)
 	other := (node + 1 + r.random.IntN(tortureNodes-1)) % tortureNodes
-	r.caused[kind.name]++
+	r.injected[kind.name]++
 	kind.cause(node, other)
-	r.heal()
+	r.clearNetworkFaults()
 	r.waitRepaired()
 }
 
-// progress waits until further calls have reached engines.
-func (r *torture) progress() {
+// waitForProgress waits until tortureProgress further calls have reached engines.
+func (r *torture) waitForProgress() {
 	before := len(r.ledger())
-	r.waitFor("calls to go on", func() bool { return len(r.ledger()) >= before+tortureProgress })
+	r.waitFor("calls to continue", func() bool { return len(r.ledger()) >= before+tortureProgress })
 }
 
-func (r *torture) engineFault(node int, faults emulator.Faults) {
+func (r *torture) injectEngineFault(node int, faults emulator.Faults) {
 	address := r.engines[fmt.Sprintf("m%d", node%3+1)] + emulator.FaultsPath
-	r.put(address, faults)
-	r.progress()
-	r.put(address, emulator.Faults{})
+	r.putJSON(address, faults)
+	r.waitForProgress()
+	r.putJSON(address, emulator.Faults{})
 }
 
-// seenBy reports whether a node holds a member of that name for alive, or for not alive.
-func (s *system) seenBy(observer int, name string, alive bool) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// nodeHasMember reports whether the observer lists a member of that name whose usability is as given.
+func (c *testCluster) nodeHasMember(observer int, name string, usable bool) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	status, err := adminclient.New("http://"+s.nodes[observer].config.Admin.Listen, adminKey).Status(ctx)
+	status, err := adminclient.New("http://"+c.nodes[observer].config.Admin.Listen, adminKey).Status(ctx)
 	if err != nil {
 		return false
 	}
 	for _, member := range status.Members {
-		if member.Member.Name == name && member.Member.Usable() == alive {
+		if member.Member.Name == name && member.Member.Usable() == usable {
 			return true
 		}
 	}
 	return false
 }
 
-// checkPrograms looks for programs over their budget, and waits until no engine holds cache of an
-// ended one.
+// checkPrograms checks that no program exceeds its budget, and waits until no engine holds cache of an ended one.
 func (r *torture) checkPrograms() {
 	list, err := r.admin.Programs(context.Background(), "school")
 	assert.NilError(r.t, err)
@@ -189,7 +186,7 @@
 		}
 		r.waitFor("the caches of "+item.Key.Path+" to be released", func() bool {
 			for name, address := range r.engines {
-				if name != "book" && fetch[int](r.t, address+emulator.HeldPath+"?program=school:"+item.Key.Path) > 0 {
+				if name != "book" && getJSON[int](r.t, address+emulator.HeldPath+"?program=school:"+item.Key.Path) > 0 {
 					return false
 				}
 			}
@@ -198,17 +195,17 @@
 	}
 }
 
-// checkMarks compares what callers were told about marks with what was executed.
-func (s *system) checkMarks(told map[string]string) {
-	s.t.Helper()
-	executed := s.marks()
-	for body, outcome := range told {
+// checkMarks compares the reported outcomes of marks with their executions.
+func (c *testCluster) checkMarks(reported map[string]string) {
+	c.t.Helper()
+	executed := c.marks()
+	for body, outcome := range reported {
 		count := executed[body]
 		switch {
 		case count > 1:
-			s.t.Errorf("%s was executed %d times", body, count)
+			c.t.Errorf("%s was executed %d times", body, count)
 		case outcome == string(apierr.Ran) && count != 1, outcome == string(apierr.NotRun) && count != 0:
-			s.t.Errorf("%s: told %q, executed %d times", body, outcome, count)
+			c.t.Errorf("%s: reported %q, executed %d times", body, outcome, count)
 		}
 	}
 }
