--- a/test/lab/lab_test.go
+++ b/test/lab/lab_test.go
@@ -1,4 +1,4 @@
-// Package lab_test runs the bench's tools in small, so that they work when they are needed.
+// Package lab_test runs the demo, torture and experiment tools at a small scale.
 package lab_test
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/mountstile/mountstile/internal/lab/torture"
 )
 
-func TestDemoFinishesItsPrograms(t *testing.T) {
+func TestDemoCompletesPrograms(t *testing.T) {
 	t.Parallel()
 	var output strings.Builder
 	err := demo.Run(t.Context(), demo.Options{Folder: "../../examples", Programs: 4, Seed: 1, Output: &output})
@@ -23,7 +23,7 @@
 	assert.Assert(t, strings.Contains(output.String(), "4 done of 4"), output.String())
 }
 
-func TestTortureBreaksNoPromise(t *testing.T) {
+func TestTortureFindsNoViolations(t *testing.T) {
 	t.Parallel()
 	report, err := torture.Run(t.Context(), torture.Options{Duration: 5 * time.Second, Seed: 2, Nodes: 4, Engines: 2, Callers: 6, Progress: t.Logf})
 	assert.NilError(t, err)
@@ -31,7 +31,7 @@
 	assert.Assert(t, report.Calls > 0 && len(report.Faults) > 0)
 }
 
-func TestExperimentWritesItsSummary(t *testing.T) {
+func TestExperimentWritesSummary(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
