--- a/internal/emulator/runfaults_test.go
+++ b/internal/emulator/runfaults_test.go
@@ -44,7 +44,7 @@
 	}
 	request := chatBody{Messages: []promptMessage{encode("user", faultyPrompt)}, MaxTokens: 10, MinTokens: 10, Stream: true}
 	if continues {
-		request.Messages = append(request.Messages, encode("assistant", AnswerText(Flatten("user", faultyPrompt), 3)))
+		request.Messages = append(request.Messages, encode("assistant", AnswerText(RenderMessage("user", faultyPrompt), 3)))
 		request.MaxTokens, request.Continue = 7, true
 	}
 	encoded, err := json.Marshal(request)
--- a/internal/emulator/text.go
+++ b/internal/emulator/text.go
@@ -25,7 +25,7 @@
 		if json.Unmarshal(message.Content, &content) != nil {
 			content = string(message.Content)
 		}
-		text.WriteString(Flatten(message.Role, content))
+		text.WriteString(RenderMessage(message.Role, content))
 	}
 	return text.String()
 }
@@ -68,13 +68,13 @@
 // countTokens counts the tokens of an answer that this emulator has generated.
 func countTokens(answer string) int { return strings.Count(answer, ":") }
 
-// Prompt cuts a flattened text into the cache blocks that a request names, and counts its tokens.
-func Prompt(text string, blockTokens int) (blocks []uint64, tokens int) {
+// PromptBlocks cuts a flattened text into the cache blocks that a request names, and counts its tokens.
+func PromptBlocks(text string, blockTokens int) (blocks []uint64, tokens int) {
 	return chainBlocks(text, blockTokens), tokensOf(text)
 }
 
-// Flatten makes one text of a message, as a chat template would.
-func Flatten(role, content string) string { return "<" + role + ">" + content }
+// RenderMessage makes one text of a message, as a chat template would.
+func RenderMessage(role, content string) string { return "<" + role + ">" + content }
 
 // AnswerText is an answer of so many tokens to a flattened prompt.
 func AnswerText(prompt string, tokens int) string {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -85,7 +85,7 @@
 
 func play(ctx context.Context, options Options, system *cluster.Cluster) error {
 	shape := workload.Options{Seed: options.Seed, Programs: options.Programs, Duration: spread, TimeScale: timeScale}
-	programs := append(workload.Brindleway(shape), workload.Mapishi(shape)...)
+	programs := append(workload.TutorPrograms(shape), workload.RecipePrograms(shape)...)
 	fmt.Fprintf(options.Output, "running %d programs, each call through any node\n\n", len(programs))
 	runContext, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -91,12 +91,12 @@
 const mostPrograms = 1 << 17
 
 func drawPrograms(file File, repeat, count int) []workload.Program {
-	generate := workload.Brindleway
+	generate := workload.TutorPrograms
 	if file.Workload == "mapishi" {
-		generate = workload.Mapishi
+		generate = workload.RecipePrograms
 	}
 	return generate(workload.Options{
-		Seed: file.Seed + uint64(repeat)*1000, Programs: count, Duration: seconds(file.Seconds), TimeScale: file.TimeScale, Flat: true,
+		Seed: file.Seed + uint64(repeat)*1000, Programs: count, Duration: seconds(file.Seconds), TimeScale: file.TimeScale, UniformStarts: true,
 	})
 }
 
--- a/internal/lab/experiment/turn.go
+++ b/internal/lab/experiment/turn.go
@@ -78,11 +78,11 @@
 		CallID: t.call.ID, Program: t.request.Admit.Program, Attempt: t.call.Attempt + 1, Engine: t.engine, CacheService: serviceName,
 	}})
 	t.call = result.Call
-	text := t.prompt + emulator.Flatten("assistant", "") + t.answer[:len(t.answer)*t.generated/t.tokens]
+	text := t.prompt + emulator.RenderMessage("assistant", "") + t.answer[:len(t.answer)*t.generated/t.tokens]
 	if t.generated == 0 {
 		text = t.prompt
 	}
-	blocks, tokens := emulator.Prompt(text, t.world.file.Engine.BlockTokens)
+	blocks, tokens := emulator.PromptBlocks(text, t.world.file.Engine.BlockTokens)
 	id := fmt.Sprintf("%s/%d", t.call.ID, t.call.Attempt)
 	job, reached := t.world.engines[t.engine].submit(emulator.Request{
 		ID: id, Program: coordinator.CacheID(t.request.Admit.Program), Blocks: blocks,
--- a/internal/lab/experiment/virtual.go
+++ b/internal/lab/experiment/virtual.go
@@ -251,7 +251,7 @@
 func (s *simulation) admit(tenant string, call runner.Call) (*simulatedTurn, *apierr.Error) {
 	var text strings.Builder
 	for _, message := range call.Messages {
-		text.WriteString(emulator.Flatten(message.Role, message.Content))
+		text.WriteString(emulator.RenderMessage(message.Role, message.Content))
 	}
 	added, err := newMessages(call.Messages)
 	if err != nil {
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -122,7 +122,7 @@
 func (p *player) program(ctx context.Context, program workload.Program) {
 	p.result.note(func() { p.result.Programs++ })
 	latency, err := p.play(ctx, program, true)
-	if err == nil && !program.Dies {
+	if err == nil && !program.Abandoned {
 		err = p.world.End(ctx, program.Tenant, program.Name)
 	}
 	p.result.note(func() {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -39,8 +39,8 @@
 	// Start is when the program begins, from the start of the run.
 	Start time.Duration
 	Turns []Turn
-	// Dies tells that the caller vanishes after the last turn without ending the program.
-	Dies bool
+	// Abandoned tells that the caller vanishes after the last turn without ending the program.
+	Abandoned bool
 }
 
 // Calls counts the model calls of the program and its sub-agents.
@@ -65,8 +65,8 @@
 	Duration time.Duration
 	// TimeScale shortens pauses, so that a short run has the shape of a long one.
 	TimeScale float64
-	// Flat spreads the starts evenly instead of in the day's peaks.
-	Flat bool
+	// UniformStarts spreads the starts evenly instead of in the day's peaks.
+	UniformStarts bool
 }
 
 // charactersPerToken matches the emulator's tokenizer.
@@ -116,7 +116,7 @@
 // start draws a moment; two peaks make the after-school and the bedtime rush.
 func (g *generator) start(peaked bool) time.Duration {
 	position := g.random.Float64()
-	if peaked && !g.options.Flat && g.random.Float64() < 0.7 {
+	if peaked && !g.options.UniformStarts && g.random.Float64() < 0.7 {
 		centre := 0.3
 		if g.random.Float64() < 0.5 {
 			centre = 0.7
@@ -126,21 +126,21 @@
 	return time.Duration(position * float64(g.options.Duration))
 }
 
-// Brindleway generates tutor programs: few short turns, each a chain of calls with tool checks and
+// TutorPrograms generates tutor programs: few short turns, each a chain of calls with tool checks and
 // sometimes a sub-agent that marks work.
-func Brindleway(options Options) []Program {
+func TutorPrograms(options Options) []Program {
 	shared := newGenerator(options, 1)
 	prompts := []string{shared.text(400), shared.text(350), shared.text(500)}
 	programs := make([]Program, options.Programs)
 	for index := range programs {
 		g := newGenerator(options, 1000+uint64(index))
 		program := Program{
-			Name:   fmt.Sprintf("tutor-%d-%d", options.Seed, index),
-			Tenant: "brindleway",
-			Model:  "tutor-small",
-			System: prompts[g.random.IntN(len(prompts))],
-			Start:  g.start(true),
-			Dies:   g.random.Float64() < 0.1,
+			Name:      fmt.Sprintf("tutor-%d-%d", options.Seed, index),
+			Tenant:    "brindleway",
+			Model:     "tutor-small",
+			System:    prompts[g.random.IntN(len(prompts))],
+			Start:     g.start(true),
+			Abandoned: g.random.Float64() < 0.1,
 		}
 		for range g.geometric(3, 8) {
 			program.Turns = append(program.Turns, g.tutorTurn(program))
@@ -185,9 +185,9 @@
 	return child
 }
 
-// Mapishi generates recipe programs: long remembered conversations, and pantry planners that fan
+// RecipePrograms generates recipe programs: long remembered conversations, and pantry planners that fan
 // out over what the market has on the day.
-func Mapishi(options Options) []Program {
+func RecipePrograms(options Options) []Program {
 	shared := newGenerator(options, 2)
 	prompts := []string{shared.text(600), shared.text(800)}
 	market := 2 + shared.random.IntN(5)
@@ -195,12 +195,12 @@
 	for index := range programs {
 		g := newGenerator(options, 2000+uint64(index))
 		program := Program{
-			Name:   fmt.Sprintf("meal-%d-%d", options.Seed, index),
-			Tenant: "mapishi",
-			Model:  "recipes-small",
-			System: prompts[g.random.IntN(len(prompts))] + g.text(g.tokens(1200, 0.8, 100, 8000)),
-			Start:  g.start(false),
-			Dies:   g.random.Float64() < 0.15,
+			Name:      fmt.Sprintf("meal-%d-%d", options.Seed, index),
+			Tenant:    "mapishi",
+			Model:     "recipes-small",
+			System:    prompts[g.random.IntN(len(prompts))] + g.text(g.tokens(1200, 0.8, 100, 8000)),
+			Start:     g.start(false),
+			Abandoned: g.random.Float64() < 0.15,
 		}
 		planner := g.random.Float64() < 0.3
 		for range g.geometric(5, 14) {
