--- a/internal/emulator/application.go
+++ b/internal/emulator/application.go
@@ -9,7 +9,7 @@
 	"github.com/mountstile/mountstile/internal/engine"
 )
 
-// ApplicationEntry is one request that reached an application engine.
+// ApplicationEntry records one request that an Application received.
 type ApplicationEntry struct {
 	Method  string `json:"method"`
 	Path    string `json:"path"`
@@ -19,35 +19,35 @@
 	Body    string `json:"body"`
 }
 
-// ApplicationFaults are the failures that an application engine shows.
+// ApplicationFaults selects the faults that an Application injects.
 type ApplicationFaults struct {
-	// CutBeforeAnswer executes requests and cuts the connection instead of answering.
+	// CutBeforeAnswer records each request and then aborts the connection without a response.
 	CutBeforeAnswer bool `json:"cut_before_answer,omitempty"`
 }
 
-// Application is a stand-in for a school's or a recipe site's service: it records each request, as
-// a gradebook or a shopping list would, and answers with its number.
+// Application emulates a non-model backend with side effects: it records each request and responds
+// with the request's number.
 type Application struct {
 	mutex   sync.Mutex
 	entries []ApplicationEntry
 	faults  ApplicationFaults
 }
 
-// ApplicationReply is the answer to each request.
+// ApplicationReply is the response to each request.
 type ApplicationReply struct {
 	Number int    `json:"number"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 }
 
-// SetFaults switches failures.
+// SetFaults replaces the injected faults.
 func (a *Application) SetFaults(faults ApplicationFaults) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.faults = faults
 }
 
-// Ledger returns what was executed, in order.
+// Ledger returns the recorded requests in order of arrival.
 func (a *Application) Ledger() []ApplicationEntry {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -70,10 +70,10 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	a.execute(w, r)
+	a.handleRequest(w, r)
 }
 
-func (a *Application) execute(w http.ResponseWriter, r *http.Request) {
+func (a *Application) handleRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -88,9 +88,9 @@
 		Attempt: r.Header.Get(engine.HeaderAttempt),
 		Body:    string(body),
 	})
-	number, cut := len(a.entries), a.faults.CutBeforeAnswer
+	number, abort := len(a.entries), a.faults.CutBeforeAnswer
 	a.mutex.Unlock()
-	if cut {
+	if abort {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, ApplicationReply{Number: number, Path: r.URL.Path, Body: string(body)})
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -2,27 +2,27 @@
 
 import "container/list"
 
-// CacheStats is the accounting of every block that was ever made.
+// CacheStats counts every block ever created, by what became of it, and the hits and misses of prompts.
 type CacheStats struct {
-	// Created counts blocks made; each ends in exactly one of the next three, or is still held.
+	// Created counts blocks inserted. It equals the sum of the evicted, released and held counts.
 	Created int64 `json:"created"`
-	// EvictedReused and EvictedUnused count blocks dropped for lack of room.
+	// EvictedReused and EvictedUnused count blocks evicted to make room, with and without a hit.
 	EvictedReused int64 `json:"evicted_reused"`
 	EvictedUnused int64 `json:"evicted_unused"`
-	// ReleasedReused and ReleasedUnused count blocks dropped because their program ended.
+	// ReleasedReused and ReleasedUnused count blocks dropped when their program ended.
 	ReleasedReused int64 `json:"released_reused"`
 	ReleasedUnused int64 `json:"released_unused"`
-	// HeldReused and HeldUnused are still there.
+	// HeldReused and HeldUnused count blocks still in the cache.
 	HeldReused int64 `json:"held_reused"`
 	HeldUnused int64 `json:"held_unused"`
-	// Hits and Misses count blocks of prompts that were found, or had to be computed.
+	// Hits and Misses count prompt blocks that were cached, or had to be computed.
 	Hits   int64 `json:"hits"`
 	Misses int64 `json:"misses"`
-	// Capacity is the size of the cache.
+	// Capacity is the size of the cache in blocks.
 	Capacity int64 `json:"capacity"`
 }
 
-// WastedFraction is the share of all blocks made that were never used again.
+// WastedFraction returns the fraction of created blocks that never had a hit.
 func (s CacheStats) WastedFraction() float64 {
 	if s.Created == 0 {
 		return 0
@@ -30,7 +30,7 @@
 	return float64(s.EvictedUnused+s.ReleasedUnused+s.HeldUnused) / float64(s.Created)
 }
 
-// Add returns the sum over engines.
+// Add returns the field-wise sum of s and other.
 func (s CacheStats) Add(other CacheStats) CacheStats {
 	return CacheStats{
 		Created:        s.Created + other.Created,
@@ -51,19 +51,19 @@
 	// pins counts the running sequences that use the block.
 	pins   int
 	reused bool
-	// program made the block; shared is set once another one used it.
+	// program created the block; shared is set when another program uses it.
 	program string
 	shared  bool
 	element *list.Element
 }
 
-// cache holds blocks, least recently used first out. Pinned blocks stay.
+// cache is an LRU cache of blocks. Pinned blocks can't be evicted.
 type cache struct {
 	capacity int
 	blocks   map[uint64]*block
-	// idle lists the blocks without pins, the least recently used first.
-	idle    *list.List
-	account CacheStats
+	// idle lists the unpinned blocks, least recently used first.
+	idle     *list.List
+	counters CacheStats
 }
 
 func newCache(capacity int) *cache {
@@ -71,10 +71,10 @@
 }
 
 func (c *cache) stats() CacheStats {
-	stats := c.account
+	stats := c.counters
 	stats.Capacity = int64(c.capacity)
-	for _, item := range c.blocks {
-		if item.reused {
+	for _, b := range c.blocks {
+		if b.reused {
 			stats.HeldReused++
 		} else {
 			stats.HeldUnused++
@@ -83,18 +83,18 @@
 	return stats
 }
 
-// pin takes the blocks of a prompt; hits is how many leading ones were there. It fails, and takes
-// nothing, if the others do not fit beside what running sequences hold.
+// pin pins the blocks of a prompt and inserts the missing ones; hits is the length of the cached prefix.
+// If the missing blocks don't fit beside the pinned ones, it returns false and changes nothing.
 func (c *cache) pin(blocks []uint64, program string) (hits int, fits bool) {
 	for hits < len(blocks) && c.blocks[blocks[hits]] != nil {
 		hits++
 	}
 	missing, idleNeeded := 0, 0
 	for _, hash := range blocks {
-		switch known := c.blocks[hash]; {
-		case known == nil:
+		switch cached := c.blocks[hash]; {
+		case cached == nil:
 			missing++
-		case known.pins == 0:
+		case cached.pins == 0:
 			idleNeeded++
 		}
 	}
@@ -102,79 +102,79 @@
 	if missing > free {
 		return 0, false
 	}
-	for position, hash := range blocks {
-		c.pinOne(hash, program, position < hits)
+	for index, hash := range blocks {
+		c.pinBlock(hash, program, index < hits)
 	}
 	for len(c.blocks) > c.capacity {
 		c.evict()
 	}
-	c.account.Hits += int64(hits)
-	c.account.Misses += int64(len(blocks) - hits)
+	c.counters.Hits += int64(hits)
+	c.counters.Misses += int64(len(blocks) - hits)
 	return hits, true
 }
 
-func (c *cache) pinOne(hash uint64, program string, hit bool) {
-	item := c.blocks[hash]
-	if item == nil {
-		item = &block{hash: hash, program: program}
-		c.blocks[hash] = item
-		c.account.Created++
+func (c *cache) pinBlock(hash uint64, program string, hit bool) {
+	b := c.blocks[hash]
+	if b == nil {
+		b = &block{hash: hash, program: program}
+		c.blocks[hash] = b
+		c.counters.Created++
 	}
 	if hit {
-		item.reused = true
+		b.reused = true
 	}
-	if item.program != program {
-		item.shared = true
+	if b.program != program {
+		b.shared = true
 	}
-	if item.element != nil {
-		c.idle.Remove(item.element)
-		item.element = nil
+	if b.element != nil {
+		c.idle.Remove(b.element)
+		b.element = nil
 	}
-	item.pins++
+	b.pins++
 }
 
 func (c *cache) unpin(blocks []uint64) {
 	for _, hash := range blocks {
-		item := c.blocks[hash]
-		if item == nil || item.pins == 0 {
+		b := c.blocks[hash]
+		if b == nil || b.pins == 0 {
 			continue
 		}
-		item.pins--
-		if item.pins == 0 {
-			item.element = c.idle.PushBack(item)
+		b.pins--
+		if b.pins == 0 {
+			b.element = c.idle.PushBack(b)
 		}
 	}
 }
 
 func (c *cache) evict() {
-	oldest := c.idle.Front()
-	if oldest == nil {
+	front := c.idle.Front()
+	if front == nil {
 		return
 	}
-	item := oldest.Value.(*block)
-	c.idle.Remove(oldest)
-	delete(c.blocks, item.hash)
-	if item.reused {
-		c.account.EvictedReused++
+	b := front.Value.(*block)
+	c.idle.Remove(front)
+	delete(c.blocks, b.hash)
+	if b.reused {
+		c.counters.EvictedReused++
 	} else {
-		c.account.EvictedUnused++
+		c.counters.EvictedUnused++
 	}
 }
 
-// release drops the idle blocks that only one program used.
+// release drops the idle blocks that only this program has used and returns their number.
 func (c *cache) release(program string) int {
 	released := 0
 	for element := c.idle.Front(); element != nil; {
 		next := element.Next()
-		item := element.Value.(*block)
-		if item.program == program && !item.shared {
+		b := element.Value.(*block)
+		if b.program == program && !b.shared {
 			c.idle.Remove(element)
-			delete(c.blocks, item.hash)
+			delete(c.blocks, b.hash)
 			released++
-			if item.reused {
-				c.account.ReleasedReused++
+			if b.reused {
+				c.counters.ReleasedReused++
 			} else {
-				c.account.ReleasedUnused++
+				c.counters.ReleasedUnused++
 			}
 		}
 		element = next
@@ -182,18 +182,18 @@
 	return released
 }
 
-// clearIdle drops all blocks that no running sequence uses.
+// clearIdle evicts all unpinned blocks.
 func (c *cache) clearIdle() {
 	for c.idle.Len() > 0 {
 		c.evict()
 	}
 }
 
-// heldBy counts the blocks that only the program uses.
+// heldBy counts the blocks that only this program has used.
 func (c *cache) heldBy(program string) int {
 	held := 0
-	for _, item := range c.blocks {
-		if item.program == program && !item.shared {
+	for _, b := range c.blocks {
+		if b.program == program && !b.shared {
 			held++
 		}
 	}
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -1,7 +1,7 @@
-// Package emulator is a model engine without a model: continuous batching, chunked prefill, a
-// bounded prefix cache with least-recently-used eviction, priorities and preemption, in steps of
-// virtual time. Model is pure; Server runs it in real time behind the chat-completions API.
-// docs/EMULATOR.md gives the constants and their sources.
+// Package emulator emulates a language-model engine: continuous batching, chunked prefill, an LRU
+// prefix cache of bounded size, priorities and preemption. Model is a deterministic state machine that
+// advances in steps of virtual time; Server runs a Model in real time behind the chat-completions API.
+// The constants are documented in docs/EMULATOR.md.
 package emulator
 
 import (
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// Config are the engine's constants.
+// Config holds the engine's timing and size parameters.
 type Config struct {
-	// StepBase is the time of a step with one sequence; StepPerSequence is added for each further.
+	// StepBase is the duration of a step with one sequence; StepPerSequence is added for each further one.
 	StepBase        time.Duration `yaml:"stepBase"`
 	StepPerSequence time.Duration `yaml:"stepPerSequence"`
 	// PrefillPerToken is added for each prompt token computed in the step.
 	PrefillPerToken time.Duration `yaml:"prefillPerToken"`
-	// PrefillChunk bounds the prompt tokens computed in one step.
+	// PrefillChunk is the maximum number of prompt tokens computed in one step.
 	PrefillChunk int `yaml:"prefillChunk"`
-	// MaxBatch bounds the sequences that run at once.
+	// MaxBatch is the maximum number of running sequences.
 	MaxBatch int `yaml:"maxBatch"`
-	// BlockTokens is the cache's granularity; CacheBlocks its size.
+	// BlockTokens is the size of a cache block in tokens; CacheBlocks is the cache's capacity in blocks.
 	BlockTokens int `yaml:"blockTokens"`
 	CacheBlocks int `yaml:"cacheBlocks"`
 }
 
-// DefaultConfig is a small model on a small share of an accelerator.
+// DefaultConfig returns parameters of a small model on a fraction of an accelerator.
 func DefaultConfig() Config {
 	return Config{
 		StepBase:        3 * time.Millisecond,
@@ -39,45 +39,48 @@
 	}
 }
 
-// Request is one sequence to be generated.
+// Request is a sequence to generate.
 type Request struct {
 	ID      string
 	Program string
-	// Blocks identify the prompt's whole blocks by the chain of their contents.
+	// Blocks are the chained hashes of the prompt's full blocks; see PromptBlocks.
 	Blocks []uint64
-	// PromptTokens is the prompt's length, including a last block that is not whole.
+	// PromptTokens is the prompt's length, including a partial last block.
 	PromptTokens int
-	// OutputTokens is how many tokens will be generated.
+	// OutputTokens is the number of tokens to generate.
 	OutputTokens int
-	// Higher priorities run first.
+	// Priority orders waiting requests; higher values run first.
 	Priority int
 }
 
-// Progress is what a step did for one sequence.
+// Progress reports the token that a step generated for a sequence.
 type Progress struct {
 	ID string
-	// Token is the number of the token generated, from 1; 0 while the prompt is computed.
-	Token  int
-	Done   bool
+	// Token is the number of the generated token, from 1.
+	Token int
+	Done  bool
+	// Cached is the number of prompt tokens found in the prefix cache.
 	Cached int
 }
 
 type sequence struct {
-	request   Request
-	arrived   int
-	remaining int
-	cached    int
-	generated int
-	blocks    []uint64
+	request Request
+	arrival int
+	// prefillRemaining is the number of prompt tokens still to compute.
+	prefillRemaining int
+	cachedTokens     int
+	generated        int
+	// blocks are the pinned blocks, which may be fewer than request.Blocks.
+	blocks []uint64
 }
 
 // Model is the engine's state between steps. It is not safe for concurrent use.
 type Model struct {
-	config  Config
-	cache   *cache
-	waiting []*sequence
-	running []*sequence
-	arrival int
+	config   Config
+	cache    *cache
+	waiting  []*sequence
+	running  []*sequence
+	arrivals int
 }
 
 // NewModel returns an idle engine with an empty cache.
@@ -85,36 +88,36 @@
 	return &Model{config: config, cache: newCache(config.CacheBlocks)}
 }
 
-// Submit puts a request into the engine's line.
+// Submit queues a request.
 func (m *Model) Submit(request Request) {
-	m.arrival++
-	m.waiting = append(m.waiting, &sequence{request: request, arrived: m.arrival})
+	m.arrivals++
+	m.waiting = append(m.waiting, &sequence{request: request, arrival: m.arrivals})
 }
 
-// Cancel ends a request wherever it is; its blocks stay cached.
+// Cancel removes a waiting or running request; its blocks stay cached.
 func (m *Model) Cancel(id string) {
-	m.waiting = slices.DeleteFunc(m.waiting, func(item *sequence) bool { return item.request.ID == id })
-	for _, item := range m.running {
-		if item.request.ID == id {
-			m.retire(item)
+	m.waiting = slices.DeleteFunc(m.waiting, func(seq *sequence) bool { return seq.request.ID == id })
+	for _, seq := range m.running {
+		if seq.request.ID == id {
+			m.unpinBlocks(seq)
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, func(item *sequence) bool { return item.request.ID == id })
+	m.running = slices.DeleteFunc(m.running, func(seq *sequence) bool { return seq.request.ID == id })
 }
 
-// Busy reports whether there is anything to do.
+// Busy reports whether any sequence is waiting or running.
 func (m *Model) Busy() bool { return len(m.waiting)+len(m.running) > 0 }
 
-// Load returns how many sequences run and wait.
+// Load returns the number of running and waiting sequences.
 func (m *Model) Load() (running, waiting int) { return len(m.running), len(m.waiting) }
 
-// Cache returns the accounting of the cache.
+// Cache returns the counters of the prefix cache.
 func (m *Model) Cache() CacheStats { return m.cache.stats() }
 
-// Release drops what only the program needs of the cache; it returns how many blocks.
+// Release drops the idle cache blocks that only this program has used and returns their number.
 func (m *Model) Release(program string) int { return m.cache.release(program) }
 
-// Step runs one step and returns how long it takes and what it brought.
+// Step runs one step and returns its duration and the tokens generated in it.
 func (m *Model) Step() (time.Duration, []Progress) {
 	m.admit()
 	if len(m.running) == 0 {
@@ -123,45 +126,45 @@
 	budget := m.config.PrefillChunk
 	prefilled := 0
 	var progress []Progress
-	for _, item := range m.running {
-		if item.remaining > 0 {
-			chunk := min(item.remaining, budget)
-			item.remaining -= chunk
+	for _, seq := range m.running {
+		if seq.prefillRemaining > 0 {
+			chunk := min(seq.prefillRemaining, budget)
+			seq.prefillRemaining -= chunk
 			budget -= chunk
 			prefilled += chunk
-			if item.remaining > 0 {
+			if seq.prefillRemaining > 0 {
 				continue
 			}
 		}
-		item.generated++
-		done := item.generated >= item.request.OutputTokens
-		progress = append(progress, Progress{ID: item.request.ID, Token: item.generated, Done: done, Cached: item.cached})
+		seq.generated++
+		done := seq.generated >= seq.request.OutputTokens
+		progress = append(progress, Progress{ID: seq.request.ID, Token: seq.generated, Done: done, Cached: seq.cachedTokens})
 	}
-	took := m.config.StepBase + time.Duration(len(m.running)-1)*m.config.StepPerSequence + time.Duration(prefilled)*m.config.PrefillPerToken
-	m.removeDone()
-	return took, progress
+	duration := m.config.StepBase + time.Duration(len(m.running)-1)*m.config.StepPerSequence + time.Duration(prefilled)*m.config.PrefillPerToken
+	m.removeFinished()
+	return duration, progress
 }
 
-func (m *Model) removeDone() {
-	for _, item := range m.running {
-		if item.generated >= item.request.OutputTokens {
-			m.retire(item)
+func (m *Model) removeFinished() {
+	for _, seq := range m.running {
+		if seq.generated >= seq.request.OutputTokens {
+			m.unpinBlocks(seq)
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, func(item *sequence) bool { return item.generated >= item.request.OutputTokens })
+	m.running = slices.DeleteFunc(m.running, func(seq *sequence) bool { return seq.generated >= seq.request.OutputTokens })
 }
 
-// retire gives a sequence's blocks back to the cache.
-func (m *Model) retire(item *sequence) { m.cache.unpin(item.blocks) }
+// unpinBlocks lets the cache evict a sequence's blocks.
+func (m *Model) unpinBlocks(seq *sequence) { m.cache.unpin(seq.blocks) }
 
-// admit fills the batch, by priority and then arrival. A waiting request of higher priority takes
-// the place of a running one that has generated nothing yet.
+// admit fills the batch by priority, then arrival. In a full batch, a waiting request preempts a running
+// one of lower priority that has not generated a token yet.
 func (m *Model) admit() {
 	slices.SortStableFunc(m.waiting, func(a, b *sequence) int {
 		if order := cmp.Compare(b.request.Priority, a.request.Priority); order != 0 {
 			return order
 		}
-		return cmp.Compare(a.arrived, b.arrived)
+		return cmp.Compare(a.arrival, b.arrival)
 	})
 	for len(m.waiting) > 0 {
 		if len(m.running) >= m.config.MaxBatch && !m.preempt(m.waiting[0].request.Priority) {
@@ -174,38 +177,40 @@
 	}
 }
 
+// preempt moves the running sequence of the lowest priority, of those below the given priority that have
+// not generated a token, back to the queue. It reports whether there was one.
 func (m *Model) preempt(priority int) bool {
 	victim := -1
-	for index, item := range m.running {
-		if item.generated == 0 && item.request.Priority < priority && (victim < 0 || item.request.Priority < m.running[victim].request.Priority) {
+	for index, seq := range m.running {
+		if seq.generated == 0 && seq.request.Priority < priority && (victim < 0 || seq.request.Priority < m.running[victim].request.Priority) {
 			victim = index
 		}
 	}
 	if victim < 0 {
 		return false
 	}
-	item := m.running[victim]
-	m.retire(item)
+	seq := m.running[victim]
+	m.unpinBlocks(seq)
 	m.running = slices.Delete(m.running, victim, victim+1)
-	m.waiting = append(m.waiting, item)
+	m.waiting = append(m.waiting, seq)
 	return true
 }
 
-// start takes the prompt's blocks from the cache as far as they are there, and makes the others.
-func (m *Model) start(item *sequence) bool {
-	blocks := item.request.Blocks
+// start moves a sequence into the batch, unless its blocks don't fit into the cache.
+func (m *Model) start(seq *sequence) bool {
+	blocks := seq.request.Blocks
 	if len(blocks) > m.config.CacheBlocks {
-		// A prompt larger than the whole cache runs uncached.
+		// The rest of a prompt larger than the cache runs uncached.
 		blocks = blocks[:m.config.CacheBlocks]
 	}
-	hits, fits := m.cache.pin(blocks, item.request.Program)
+	hits, fits := m.cache.pin(blocks, seq.request.Program)
 	if !fits {
 		return false
 	}
-	item.blocks = blocks
-	item.cached = min(hits*m.config.BlockTokens, max(0, item.request.PromptTokens-1))
-	item.remaining = item.request.PromptTokens - item.cached
-	item.generated = 0
-	m.running = append(m.running, item)
+	seq.blocks = blocks
+	seq.cachedTokens = min(hits*m.config.BlockTokens, max(0, seq.request.PromptTokens-1))
+	seq.prefillRemaining = seq.request.PromptTokens - seq.cachedTokens
+	seq.generated = 0
+	m.running = append(m.running, seq)
 	return true
 }
--- a/internal/emulator/model_test.go
+++ b/internal/emulator/model_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// blocksOf returns consecutive block hashes.
 func blocksOf(first uint64, count int) []uint64 {
 	blocks := make([]uint64, count)
 	for index := range blocks {
@@ -16,13 +17,13 @@
 	return blocks
 }
 
-// finish steps until nothing is left and returns the time and the tokens of each request.
-func finish(model *Model) (time.Duration, map[string]int) {
+// runToIdle steps the model until it is idle and returns the virtual time and the tokens of each request.
+func runToIdle(model *Model) (time.Duration, map[string]int) {
 	var total time.Duration
 	tokens := make(map[string]int)
 	for model.Busy() {
-		took, progress := model.Step()
-		total += took
+		duration, progress := model.Step()
+		total += duration
 		for _, item := range progress {
 			tokens[item.ID]++
 		}
@@ -30,19 +31,19 @@
 	return total, tokens
 }
 
-// TestOneRequestAlone: prefill in chunks, then a step a token (closed form).
+// TestOneRequestAlone checks the closed form: chunked prefill, then one step per token.
 func TestOneRequestAlone(t *testing.T) {
 	config := DefaultConfig()
 	model := NewModel(config)
 	model.Submit(Request{ID: "a", PromptTokens: 1000, OutputTokens: 50})
-	took, tokens := finish(model)
-	// The step that computes the last of the prompt gives the first token.
+	duration, tokens := runToIdle(model)
+	// The step that completes the prefill generates the first token.
 	steps := 2 + 50 - 1
-	assert.Equal(t, took, time.Duration(steps)*config.StepBase+1000*config.PrefillPerToken)
+	assert.Equal(t, duration, time.Duration(steps)*config.StepBase+1000*config.PrefillPerToken)
 	assert.Equal(t, tokens["a"], 50)
 }
 
-// TestSaturatedBatch: n equal requests in a full batch take one request's steps, each longer.
+// TestSaturatedBatch checks that equal requests in a full batch take as many steps as one request, each step longer.
 func TestSaturatedBatch(t *testing.T) {
 	config := DefaultConfig()
 	config.PrefillPerToken = 0
@@ -51,36 +52,36 @@
 	for number := range config.MaxBatch {
 		model.Submit(Request{ID: string(rune('a' + number)), PromptTokens: 10, OutputTokens: 20})
 	}
-	took, _ := finish(model)
+	duration, _ := runToIdle(model)
 	step := config.StepBase + time.Duration(config.MaxBatch-1)*config.StepPerSequence
-	assert.Equal(t, took, 20*step)
+	assert.Equal(t, duration, 20*step)
 }
 
-// TestCacheAtExactCapacity: a working set as large as the cache is always found; one block more,
-// used in turn, never is (least recently used).
+// TestCacheAtExactCapacity checks the LRU limits: a working set of the cache's size always hits after the
+// first pass; a larger one, used in rotation, never hits.
 func TestCacheAtExactCapacity(t *testing.T) {
 	config := DefaultConfig()
 	config.CacheBlocks = 40
 	fits, overflows := NewModel(config), NewModel(config)
-	play := func(model *Model, sets int) CacheStats {
+	run := func(model *Model, sets int) CacheStats {
 		for range 5 {
 			for set := range sets {
 				model.Submit(Request{ID: "r", Program: string(rune('a' + set)), Blocks: blocksOf(uint64(set)*100, 10), PromptTokens: 160, OutputTokens: 1})
-				finish(model)
+				runToIdle(model)
 			}
 		}
 		return model.Cache()
 	}
-	stats := play(fits, 4)
+	stats := run(fits, 4)
 	assert.Equal(t, stats.Misses, int64(40))
 	assert.Equal(t, stats.Hits, int64(160))
 	assert.Equal(t, stats.WastedFraction(), 0.0)
-	stats = play(overflows, 5)
+	stats = run(overflows, 5)
 	assert.Equal(t, stats.Hits, int64(0))
 	assert.Equal(t, stats.WastedFraction(), 1.0)
 }
 
-func TestPriorityGoesFirstAndPreempts(t *testing.T) {
+func TestHigherPriorityPreempts(t *testing.T) {
 	config := DefaultConfig()
 	config.MaxBatch, config.PrefillChunk = 1, 16
 	model := NewModel(config)
@@ -89,7 +90,7 @@
 	model.Submit(Request{ID: "high", PromptTokens: 16, OutputTokens: 1, Priority: 5})
 	_, progress := model.Step()
 	assert.Equal(t, progress[0].ID, "high")
-	_, tokens := finish(model)
+	_, tokens := runToIdle(model)
 	assert.Equal(t, tokens["low"], 2)
 }
 
@@ -97,14 +98,14 @@
 	model := NewModel(DefaultConfig())
 	shared := blocksOf(1, 4)
 	model.Submit(Request{ID: "a", Program: "a", Blocks: append(blocksOf(1, 4), 100), PromptTokens: 80, OutputTokens: 1})
-	finish(model)
+	runToIdle(model)
 	model.Submit(Request{ID: "b", Program: "b", Blocks: shared, PromptTokens: 64, OutputTokens: 1})
-	finish(model)
+	runToIdle(model)
 	assert.Equal(t, model.Release("a"), 1)
 	assert.Equal(t, model.cache.heldBy("a"), 0)
 }
 
-// TestEveryBlockIsAccountedFor plays random requests, cancels and releases.
+// TestEveryBlockIsAccountedFor checks the cache's counters after random submits, cancels, releases and steps.
 func TestEveryBlockIsAccountedFor(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		config := DefaultConfig()
@@ -124,11 +125,11 @@
 				model.Step()
 			}
 			stats := model.Cache()
-			ended := stats.EvictedReused + stats.EvictedUnused + stats.ReleasedReused + stats.ReleasedUnused + stats.HeldReused + stats.HeldUnused
-			assert.Equal(r, ended, stats.Created)
+			accounted := stats.EvictedReused + stats.EvictedUnused + stats.ReleasedReused + stats.ReleasedUnused + stats.HeldReused + stats.HeldUnused
+			assert.Equal(r, accounted, stats.Created)
 			assert.Assert(r, int64(len(model.cache.blocks)) <= stats.Capacity)
 		}
-		finish(model)
-		assert.Equal(r, model.cache.idle.Len(), len(model.cache.blocks), "nothing stays pinned")
+		runToIdle(model)
+		assert.Equal(r, model.cache.idle.Len(), len(model.cache.blocks), "blocks remain pinned")
 	})
 }
--- a/internal/emulator/orders.go
+++ b/internal/emulator/orders.go
@@ -11,25 +11,25 @@
 	"github.com/mountstile/mountstile/internal/standin/weightserver"
 )
 
-// loadRetry is how long an engine waits before it pulls weights again after a failure.
-const loadRetry = 200 * time.Millisecond
+// loadRetryInterval is the delay before weights are downloaded again after a failure.
+const loadRetryInterval = 200 * time.Millisecond
 
-// modelSlot is what an engine has loaded; Server's mutex guards it. An engine without orders serves
-// every model.
+// modelSlot is the loaded model; Server.mutex guards it. An engine that has never received an order
+// serves every model.
 type modelSlot struct {
 	state engine.ModelState
-	// ordered is set with the first order.
+	// ordered is set by the first order.
 	ordered bool
-	// cancel ends the load under way.
+	// cancel stops the current load.
 	cancel context.CancelFunc
 }
 
-// serves reports whether a request for the model can be run.
+// serves reports whether the engine can run requests for the model.
 func (m *modelSlot) serves(model string) bool {
 	return !m.ordered || m.state.Loading == "" && m.state.Model == model
 }
 
-// ModelState returns what the engine has loaded.
+// ModelState returns the loaded model and the load in progress.
 func (s *Server) ModelState() engine.ModelState {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -43,7 +43,7 @@
 func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&order); err != nil || order.Model == "" {
-		http.Error(w, "an order names a token and a model", http.StatusBadRequest)
+		http.Error(w, "invalid order, or order without a model", http.StatusBadRequest)
 		return
 	}
 	state, accepted := s.acceptOrder(order)
@@ -54,8 +54,8 @@
 	_ = json.NewEncoder(w).Encode(state)
 }
 
-// acceptOrder fences orders and begins to load. Answers under way go on; new requests are refused
-// until the model is there.
+// acceptOrder rejects orders with a stale fencing token and otherwise starts loading the model. Running
+// sequences continue; new requests are rejected until the model is loaded.
 func (s *Server) acceptOrder(order engine.Order) (engine.ModelState, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -78,10 +78,10 @@
 	return s.slot.state, true
 }
 
-// load pulls weights until they are whole or the order is superseded.
+// load retries the download of weights until it succeeds or a newer order cancels it.
 func (s *Server) load(ctx context.Context, order engine.Order) {
-	for pullWeights(ctx, order.WeightStore+weightserver.WeightsPath+order.Model) != nil {
-		timer := time.NewTimer(loadRetry)
+	for downloadWeights(ctx, order.WeightStore+weightserver.WeightsPath+order.Model) != nil {
+		timer := time.NewTimer(loadRetryInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -98,7 +98,7 @@
 	s.model.cache.clearIdle()
 }
 
-func pullWeights(ctx context.Context, address string) error {
+func downloadWeights(ctx context.Context, address string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return err
--- a/internal/emulator/runfaults_test.go
+++ b/internal/emulator/run_faults_test.go
@@ -17,34 +17,35 @@
 	"github.com/mountstile/mountstile/internal/engine"
 )
 
-// faultyEngine is a running engine whose runs go wrong.
+// faultyEngine starts an engine that injects faults into its runs.
 func faultyEngine(t *testing.T, faults RunFaults) (*Server, string) {
 	t.Helper()
 	config := DefaultConfig()
 	config.StepBase = 100 * time.Microsecond
-	emulated := NewServer(config)
-	emulated.SetFaults(Faults{Runs: faults})
+	emulator := NewServer(config)
+	emulator.SetFaults(Faults{Runs: faults})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	go emulated.Run(ctx)
-	server := httptest.NewServer(emulated)
+	go emulator.Run(ctx)
+	server := httptest.NewServer(emulator)
 	t.Cleanup(server.Close)
-	return emulated, server.URL
+	return emulator, server.URL
 }
 
-const faultyPrompt = "say something"
+const testPrompt = "say something"
 
-// chat asks for ten tokens, after a partial answer of three if it continues; err tells that the answer broke off.
-func chat(t *testing.T, address string, continues bool) (status int, body string, err error) {
+// chat requests an answer of ten tokens, of which a partial answer of three is given if continued is set. err reports an
+// aborted response.
+func chat(t *testing.T, address string, continued bool) (status int, body string, err error) {
 	t.Helper()
 	encode := func(role, text string) promptMessage {
 		content, err := json.Marshal(text)
 		assert.NilError(t, err)
 		return promptMessage{Role: role, Content: content}
 	}
-	request := chatBody{Messages: []promptMessage{encode("user", faultyPrompt)}, MaxTokens: 10, MinTokens: 10, Stream: true}
-	if continues {
-		request.Messages = append(request.Messages, encode("assistant", AnswerText(RenderMessage("user", faultyPrompt), 3)))
+	request := chatBody{Messages: []promptMessage{encode("user", testPrompt)}, MaxTokens: 10, MinTokens: 10, Stream: true}
+	if continued {
+		request.Messages = append(request.Messages, encode("assistant", AnswerText(RenderMessage("user", testPrompt), 3)))
 		request.MaxTokens, request.Continue = 7, true
 	}
 	encoded, err := json.Marshal(request)
@@ -58,8 +59,8 @@
 	return response.StatusCode, string(content), err
 }
 
-// TestContinuationsGoWrong: runs from the beginning are whole, those that go on fail in the way that is set.
-func TestContinuationsGoWrong(t *testing.T) {
+// TestContinuationsFail checks that each kind of fault affects continuations, while new answers stay complete.
+func TestContinuationsFail(t *testing.T) {
 	t.Parallel()
 	checks := map[FaultKind]func(status int, body string, err error) bool{
 		FaultCut: func(_ int, body string, err error) bool { return err != nil && !strings.Contains(body, "[DONE]") },
@@ -80,14 +81,14 @@
 	for _, kind := range FaultKinds() {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			emulated, address := faultyEngine(t, RunFaults{Seed: 1, Continued: 1, Kinds: []FaultKind{kind}})
+			emulator, address := faultyEngine(t, RunFaults{Seed: 1, Continued: 1, Kinds: []FaultKind{kind}})
 			status, body, err := chat(t, address, false)
 			assert.NilError(t, err)
 			assert.Equal(t, status, http.StatusOK)
 			assert.Assert(t, strings.Contains(body, `"finish_reason":"length"`), body)
 			status, body, err = chat(t, address, true)
 			assert.Assert(t, checks[kind](status, body, err), "%d %v %s", status, err, body)
-			ledger := emulated.Ledger()
+			ledger := emulator.Ledger()
 			assert.Assert(t, ledger[0].Finished)
 			if kind == FaultUnavailable {
 				assert.Equal(t, len(ledger), 1)
@@ -99,31 +100,32 @@
 	}
 }
 
-// TestRunFaultsAreSeeded: a share of the runs fails, the same with the same seed, and shares of first and later runs are apart.
+// TestRunFaultsAreSeeded checks that a seed always gives the same faults, and that new answers and continuations fail at
+// their own rates.
 func TestRunFaultsAreSeeded(t *testing.T) {
 	t.Parallel()
-	play := func(seed uint64, continues bool) (failed []runFault, count int) {
+	drawAll := func(seed uint64, continued bool) (drawn []runFault, failures int) {
 		faults := RunFaults{Seed: seed, First: 0.2, Continued: 0.6}
 		for arrival := range 1000 {
-			fault := faults.draw(runIdentity{prompt: 7, arrival: arrival, continues: continues}, 10)
-			failed = append(failed, fault)
+			fault := faults.draw(runKey{promptHash: 7, arrival: arrival, continued: continued}, 10)
+			drawn = append(drawn, fault)
 			if fault.kind != "" {
-				count++
+				failures++
 			}
 		}
-		return failed, count
+		return drawn, failures
 	}
-	first, ofFirst := play(1, false)
-	again, _ := play(1, false)
-	other, _ := play(2, false)
-	_, ofContinued := play(1, true)
+	first, newFailures := drawAll(1, false)
+	again, _ := drawAll(1, false)
+	other, _ := drawAll(2, false)
+	_, continuedFailures := drawAll(1, true)
 	assert.Assert(t, slices.Equal(first, again))
 	assert.Assert(t, !slices.Equal(first, other))
-	assert.Assert(t, ofFirst > 150 && ofFirst < 250, "%d", ofFirst)
-	assert.Assert(t, ofContinued > 550 && ofContinued < 650, "%d", ofContinued)
+	assert.Assert(t, newFailures > 150 && newFailures < 250, "%d", newFailures)
+	assert.Assert(t, continuedFailures > 550 && continuedFailures < 650, "%d", continuedFailures)
 }
 
-func TestUnknownFaultIsRefused(t *testing.T) {
+func TestUnknownFaultKindIsRejected(t *testing.T) {
 	t.Parallel()
 	_, address := faultyEngine(t, RunFaults{})
 	request, err := http.NewRequest(http.MethodPut, address+FaultsPath, strings.NewReader(`{"runs": {"continued": 1, "kinds": ["explode"]}}`))
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,7 +12,7 @@
 	"github.com/mountstile/mountstile/internal/engine"
 )
 
-// Paths of the emulator beyond the chat-completions API.
+// Paths of the emulator's control API.
 const (
 	LedgerPath = "/ledger"
 	StatsPath  = "/stats"
@@ -21,7 +21,7 @@
 	maxBody    = 32 << 20
 )
 
-// LedgerEntry is one request that reached the engine.
+// LedgerEntry records one request that the engine accepted.
 type LedgerEntry struct {
 	Program  string `json:"program"`
 	Call     string `json:"call"`
@@ -29,46 +29,46 @@
 	Arrived  int64  `json:"arrived"`
 	Messages int    `json:"messages"`
 	Finished bool   `json:"finished"`
-	// Prompt fingerprints the prompt without a partial answer.
+	// Prompt is a hash of the prompt without a partial answer.
 	Prompt uint64 `json:"prompt"`
 }
 
-// Faults are the failures that the engine shows; all are off at first.
+// Faults selects the faults that the engine injects; the zero value injects none.
 type Faults struct {
-	// RefuseStatus answers every request with this status.
+	// RefuseStatus is the status returned for every request, if not 0.
 	RefuseStatus int `json:"refuse_status,omitempty"`
-	// CutAfterTokens cuts the connection after so many tokens of each answer.
+	// CutAfterTokens closes the connection after this number of tokens of each answer.
 	CutAfterTokens int `json:"cut_after_tokens,omitempty"`
-	// GarbleAfterTokens sends an event that is no JSON after so many tokens.
+	// GarbleAfterTokens sends an event of invalid JSON after this number of tokens.
 	GarbleAfterTokens int `json:"garble_after_tokens,omitempty"`
-	// ResumeStatus answers requests to go on with a partial answer with this status and an error object.
+	// ResumeStatus is the status returned, with an error object, for requests that continue a partial answer.
 	ResumeStatus int `json:"resume_status,omitempty"`
-	// EndAfterTokens ends each answer after so many tokens with the end mark, but without a finish reason.
+	// EndAfterTokens ends each answer after this number of tokens with [DONE], but without a finish reason.
 	EndAfterTokens int `json:"end_after_tokens,omitempty"`
-	// NoEndMark ends each answer in order, but without the end mark.
+	// NoEndMark omits the final [DONE].
 	NoEndMark bool `json:"no_end_mark,omitempty"`
-	// Hang stops the engine; requests stay open.
+	// Hang stops the engine; requests stay open without progress.
 	Hang bool `json:"hang,omitempty"`
-	// Slowdown multiplies the time of each step; 0 counts as 1.
+	// Slowdown multiplies the duration of each step; 0 means 1.
 	Slowdown float64 `json:"slowdown,omitempty"`
-	// RefuseReleases answers releases of cache with an error.
+	// RefuseReleases rejects requests to release cache blocks.
 	RefuseReleases bool `json:"refuse_releases,omitempty"`
-	// Runs are failures of some runs and continuations.
+	// Runs injects faults into a fraction of the runs.
 	Runs RunFaults `json:"runs,omitzero"`
 }
 
-// Stats is what the engine counts.
+// Stats holds the engine's counters.
 type Stats struct {
 	Running int        `json:"running"`
 	Waiting int        `json:"waiting"`
 	Cache   CacheStats `json:"cache"`
 	Tokens  int64      `json:"tokens"`
-	// Loads counts models that the engine began to load, RefusedOrders orders with a token too low.
+	// Loads counts started model loads; RefusedOrders counts orders rejected for a stale token.
 	Loads         int64 `json:"loads"`
 	RefusedOrders int64 `json:"refused_orders"`
 }
 
-// Server is an emulated engine as an http.Handler; Run must be running.
+// Server serves an emulated engine as an http.Handler. Requests make progress only while Run is running.
 type Server struct {
 	config Config
 	mux    *http.ServeMux
@@ -79,16 +79,16 @@
 	streams map[string]chan Progress
 	ledger  []*LedgerEntry
 	faults  Faults
-	// arrivals counts the runs of each prompt since the faults were set, by which faults of runs are drawn.
+	// arrivals counts the runs of each prompt, by hash, since the faults were set.
 	arrivals map[uint64]int
 	tokens   int64
-	next     int64
+	accepted int64
 	slot     modelSlot
-	// loads and refusedOrders count orders that were followed and fenced off.
+	// loads and refusedOrders are reported in Stats.
 	loads, refusedOrders int64
 }
 
-// NewServer returns an idle engine.
+// NewServer returns an idle engine with an empty cache.
 func NewServer(config Config) *Server {
 	server := &Server{
 		config:   config,
@@ -117,11 +117,11 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Run steps the model in real time until the context ends.
+// Run steps the model in real time until ctx is done.
 func (s *Server) Run(ctx context.Context) {
 	for {
-		took, worked := s.step()
-		if !worked {
+		duration, stepped := s.step()
+		if !stepped {
 			select {
 			case <-ctx.Done():
 				return
@@ -129,7 +129,7 @@
 			}
 			continue
 		}
-		timer := time.NewTimer(took)
+		timer := time.NewTimer(duration)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -139,44 +139,45 @@
 	}
 }
 
-// step runs one step and hands out its tokens.
+// step runs one model step and delivers its tokens. It returns false if there is nothing to run.
 func (s *Server) step() (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.model.Busy() || s.faults.Hang {
 		return 0, false
 	}
-	took, progress := s.model.Step()
+	duration, progress := s.model.Step()
 	for _, item := range progress {
 		s.tokens++
 		if stream := s.streams[item.ID]; stream != nil {
-			// The channel holds every token of the answer, so that this never blocks.
+			// The channel's buffer holds the whole answer, so this never blocks.
 			stream <- item
 		}
 	}
 	if s.faults.Slowdown > 0 {
-		took = time.Duration(float64(took) * s.faults.Slowdown)
+		duration = time.Duration(float64(duration) * s.faults.Slowdown)
 	}
-	return took, true
+	return duration, true
 }
 
-func (s *Server) wakeUp() {
+// notify wakes Run if it is idle.
+func (s *Server) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SetFaults switches failures.
+// SetFaults replaces the injected faults and restarts the counts that RunFaults depend on.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	s.faults = faults
 	clear(s.arrivals)
 	s.mutex.Unlock()
-	s.wakeUp()
+	s.notify()
 }
 
-// Ledger returns what has reached the engine, in order.
+// Ledger returns the accepted requests in order of arrival.
 func (s *Server) Ledger() []LedgerEntry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -195,7 +196,7 @@
 	return Stats{Running: running, Waiting: waiting, Cache: s.model.Cache(), Tokens: s.tokens, Loads: s.loads, RefusedOrders: s.refusedOrders}
 }
 
-// Held counts the cached blocks that only one program uses.
+// Held counts the cached blocks that only this program has used.
 func (s *Server) Held(program string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -213,7 +214,7 @@
 		return
 	}
 	if kind := faults.Runs.unknownKind(); kind != "" {
-		http.Error(w, "no kind of fault: "+string(kind), http.StatusBadRequest)
+		http.Error(w, "unknown fault kind: "+string(kind), http.StatusBadRequest)
 		return
 	}
 	s.SetFaults(faults)
@@ -231,47 +232,48 @@
 		return
 	}
 	s.mutex.Lock()
-	refused := s.faults.RefuseReleases
-	if !refused {
+	rejected := s.faults.RefuseReleases
+	if !rejected {
 		s.model.Release(body.Program)
 	}
 	s.mutex.Unlock()
-	if refused {
-		http.Error(w, "releases are switched off", http.StatusServiceUnavailable)
+	if rejected {
+		http.Error(w, "cache releases are disabled", http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// chatBody is what the emulator reads of a request.
+// chatBody holds the fields of a chat request that the emulator uses.
 type chatBody struct {
 	Model    string          `json:"model"`
 	Messages []promptMessage `json:"messages"`
-	// MaxTokens bounds the answer; MinTokens is vLLM's extension that keeps it from ending early.
+	// MaxTokens and MinTokens bound the answer's length; MinTokens is a vLLM extension.
 	MaxTokens int  `json:"max_tokens"`
 	MinTokens int  `json:"min_tokens"`
 	Stream    bool `json:"stream"`
 	Priority  int  `json:"priority"`
-	// Continue asks to go on with a partial answer, the last message.
+	// Continue asks for the continuation of the last message, a partial answer.
 	Continue bool `json:"continue_final_message"`
 }
 
 const (
-	defaultTokens = 64
-	leastTokens   = 8
+	defaultMaxTokens = 64
+	defaultMinTokens = 8
 )
 
-// outputTokens is how long the whole answer is: fixed by the prompt.
-func (b chatBody) outputTokens(prompt uint64, already int) int {
-	most := b.MaxTokens + already
+// answerTokens returns the length of the whole answer, including a partial one. Within its limits it
+// depends on the prompt's hash alone.
+func (b chatBody) answerTokens(promptHash uint64, partialTokens int) int {
+	upper := b.MaxTokens + partialTokens
 	if b.MaxTokens <= 0 {
-		most = defaultTokens
+		upper = defaultMaxTokens
 	}
-	least := max(min(leastTokens, most), b.MinTokens)
-	if least >= most {
-		return most
+	lower := max(min(defaultMinTokens, upper), b.MinTokens)
+	if lower >= upper {
+		return upper
 	}
-	return least + int(prompt%uint64(most-least+1))
+	return lower + int(promptHash%uint64(upper-lower+1))
 }
 
 func (s *Server) handleChat(w http.ResponseWriter, r *http.Request) {
@@ -283,20 +285,20 @@
 	if status := s.resumeStatus(); body.Continue && status != 0 {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
-		_, _ = w.Write([]byte(resumeFailure))
+		_, _ = w.Write([]byte(resumeErrorBody))
 		return
 	}
-	job, refusal := s.submit(r, body)
-	if refusal != 0 {
-		http.Error(w, "refused", refusal)
+	accepted, errorStatus := s.submit(r, body)
+	if errorStatus != 0 {
+		http.Error(w, "request refused", errorStatus)
 		return
 	}
-	defer s.forget(job.id)
-	job.stream(w, r)
+	defer s.remove(accepted.id)
+	accepted.stream(w, r)
 }
 
-// resumeFailure is the body of a failed resumption.
-const resumeFailure = `{"error":{"message":"can't go on","type":"server_error"}}` + "\n"
+// resumeErrorBody is the response body for ResumeStatus.
+const resumeErrorBody = `{"error":{"message":"cannot continue the final message","type":"server_error"}}` + "\n"
 
 func (s *Server) resumeStatus() int {
 	s.mutex.Lock()
@@ -304,17 +306,18 @@
 	return s.faults.ResumeStatus
 }
 
-// submit books a request in the ledger and the model.
-func (s *Server) submit(r *http.Request, body chatBody) (*job, int) {
+// submit records a request in the ledger and queues it in the model. If it rejects the request, it returns
+// the HTTP status of the response instead.
+func (s *Server) submit(r *http.Request, body chatBody) (*completion, int) {
 	messages, partial := body.Messages, ""
 	if body.Continue && len(messages) > 0 {
 		_ = json.Unmarshal(messages[len(messages)-1].Content, &partial)
 		messages = messages[:len(messages)-1]
 	}
-	text := flatten(messages)
-	prompt := xxhash.Sum64String(text)
-	already := countTokens(partial)
-	total := body.outputTokens(prompt, already)
+	text := renderMessages(messages)
+	promptHash := xxhash.Sum64String(text)
+	partialTokens := countAnswerTokens(partial)
+	totalTokens := body.answerTokens(promptHash, partialTokens)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.faults.RefuseStatus != 0 {
@@ -323,46 +326,48 @@
 	if !s.slot.serves(body.Model) {
 		return nil, http.StatusNotFound
 	}
-	fault := s.drawFault(runIdentity{prompt: prompt, continues: body.Continue}, max(1, total-already))
+	fault := s.drawFault(runKey{promptHash: promptHash, continued: body.Continue}, max(1, totalTokens-partialTokens))
 	if fault.kind == FaultUnavailable {
 		return nil, http.StatusServiceUnavailable
 	}
-	s.next++
+	s.accepted++
 	entry := &LedgerEntry{
 		Program:  r.Header.Get(engine.HeaderProgram),
 		Call:     r.Header.Get(engine.HeaderCall),
 		Attempt:  r.Header.Get(engine.HeaderAttempt),
-		Arrived:  s.next,
+		Arrived:  s.accepted,
 		Messages: len(messages),
-		Prompt:   prompt,
+		Prompt:   promptHash,
 	}
 	s.ledger = append(s.ledger, entry)
-	created := &job{
-		server: s, entry: entry, model: body.Model, prompt: prompt, already: already,
-		id: entry.Call + "/" + entry.Attempt + "/" + formatNumber(s.next), faults: s.faults, fault: fault,
-		promptTokens: tokensOf(text + partial), output: max(1, total-already), limited: body.MaxTokens > 0 && total-already >= body.MaxTokens,
+	c := &completion{
+		server: s, entry: entry, model: body.Model, promptHash: promptHash, partialTokens: partialTokens,
+		id: entry.Call + "/" + entry.Attempt + "/" + formatNumber(s.accepted), faults: s.faults, fault: fault,
+		promptTokens: countPromptTokens(text + partial), outputTokens: max(1, totalTokens-partialTokens),
+		truncated: body.MaxTokens > 0 && totalTokens-partialTokens >= body.MaxTokens,
 	}
-	created.progress = make(chan Progress, created.output)
-	s.streams[created.id] = created.progress
+	c.progress = make(chan Progress, c.outputTokens)
+	s.streams[c.id] = c.progress
 	s.model.Submit(Request{
-		ID: created.id, Program: entry.Program, Blocks: chainBlocks(text+partial, s.config.BlockTokens),
-		PromptTokens: created.promptTokens, OutputTokens: created.output, Priority: body.Priority,
+		ID: c.id, Program: entry.Program, Blocks: blockHashes(text+partial, s.config.BlockTokens),
+		PromptTokens: c.promptTokens, OutputTokens: c.outputTokens, Priority: body.Priority,
 	})
-	s.wakeUp()
-	return created, 0
+	s.notify()
+	return c, 0
 }
 
-// drawFault decides how a run goes wrong that is to bring so many tokens. It needs the mutex.
-func (s *Server) drawFault(run runIdentity, tokens int) runFault {
-	if !s.faults.Runs.on() {
+// drawFault chooses the fault of a run that generates the given number of tokens. The caller holds s.mutex.
+func (s *Server) drawFault(run runKey, tokens int) runFault {
+	if !s.faults.Runs.enabled() {
 		return runFault{}
 	}
-	s.arrivals[run.prompt]++
-	run.arrival = s.arrivals[run.prompt]
+	s.arrivals[run.promptHash]++
+	run.arrival = s.arrivals[run.promptHash]
 	return s.faults.Runs.draw(run, tokens)
 }
 
-func (s *Server) forget(id string) {
+// remove ends a request whose response has ended or whose client has disconnected.
+func (s *Server) remove(id string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.streams, id)
