--- a/internal/simulate/client.go
+++ b/internal/simulate/client.go
@@ -8,7 +8,7 @@
 	"github.com/mountstile/mountstile/internal/program"
 )
 
-// phase is how far a client's present call has come.
+// phase is the state of a client's current call.
 type phase int
 
 const (
@@ -18,142 +18,146 @@
 	phaseRunning
 	phaseComplete
 	phaseFail
-	phaseLose
-	phaseRest
+	phaseLoseAttempt
+	phaseIdle
 )
 
+// Durations are in steps.
 const (
-	clientPatience = 60
-	longestRun     = 15
-	longestRest    = 20
-	reserveTokens  = 90
-	// turnPause is how long a call whose turn has not come waits before it asks again.
-	turnPause = 10
+	proposalTimeout = 60
+	maxRunSteps     = 15
+	maxIdleSteps    = 20
+	reserveTokens   = 90
+	// sequenceGapRetryDelay is the delay before a dispatch is retried while an earlier call of its program is outstanding.
+	sequenceGapRetryDelay = 10
 )
 
-// operation is one admission as its caller saw it, for the linearizability check.
+// operation records the invocation and response of one admission for the linearizability check.
 type operation struct {
-	client   int
-	program  program.Key
-	callID   string
+	client  int
+	program program.Key
+	callID  string
+	// invoked and returned are steps; returned is -1 until the response arrives.
 	invoked  int
 	returned int
 	sequence uint64
 }
 
-// client is a gateway with one caller: it admits, dispatches, sends and completes calls, one at a
-// time, and gives up or repeats when answers do not come.
+// client is a gateway with one caller. It admits, dispatches, sends and completes calls, one at a time,
+// and retries commands whose results don't arrive in time.
 type client struct {
-	world  *World
+	sim    *simulation
 	number int
 
-	phase    phase
-	call     program.Call
-	key      program.Key
-	ticket   int
+	phase phase
+	call  program.Call
+	key   program.Key
+	// proposal is the number of the latest proposal; results of earlier ones are ignored.
+	proposal int
 	waiting  bool
-	since    int
-	until    int
-	attempt  int
-	calls    int
-	sent     bool
-	refused  bool
-	op       *operation
-	complete program.Answer
+	// proposedAt and resumeAt are steps.
+	proposedAt int
+	resumeAt   int
+	attempt    int
+	calls      int
+	sent       bool
+	refused    bool
+	op         *operation
+	answer     program.Answer
 }
 
-func newClient(world *World, number int) *client {
-	return &client{world: world, number: number}
+func newClient(sim *simulation, number int) *client {
+	return &client{sim: sim, number: number}
 }
 
-func (c *client) idle() bool { return c.phase == phaseRest || c.phase == phaseNew }
+func (c *client) idle() bool { return c.phase == phaseIdle || c.phase == phaseNew }
 
-// propose puts a command to the present leader, and remembers whom to answer.
+// propose submits a command to the current leader and registers the client for its result.
 func (c *client) propose(command program.Command) {
-	leader := c.world.leader()
+	leader := c.sim.leader()
 	if leader == nil {
 		return
 	}
-	command.At = int64(c.world.step)
+	command.At = int64(c.sim.step)
 	encoded, err := json.Marshal(command)
 	if err != nil {
-		c.world.fail("encoding a command: %s", err)
+		c.sim.fail("encoding a command: %s", err)
 		return
 	}
 	index, term, err := leader.core.Propose(encoded)
 	if err != nil {
 		return
 	}
-	c.ticket++
-	c.waiting, c.since = true, c.world.step
-	leader.waiters[index] = waiter{term: term, client: c, ticket: c.ticket}
-	c.world.process(leader)
+	c.proposal++
+	c.waiting, c.proposedAt = true, c.sim.step
+	leader.waiters[index] = waiter{term: term, client: c, proposal: c.proposal}
+	c.sim.process(leader)
 }
 
-// lost tells that an answer will not come.
-func (c *client) lost(ticket int) {
-	if ticket == c.ticket {
+// abandon stops the wait for a proposal whose result can't arrive any more.
+func (c *client) abandon(proposal int) {
+	if proposal == c.proposal {
 		c.waiting = false
 	}
 }
 
-// advance plays one step of the client.
+// advance runs one step of the client.
 func (c *client) advance() {
 	if c.waiting {
-		if c.world.step-c.since < clientPatience {
+		if c.sim.step-c.proposedAt < proposalTimeout {
 			return
 		}
-		// The answer was lost; every command may be proposed again.
+		// The result is lost. All commands are idempotent and can be proposed again.
 		c.waiting = false
-		c.ticket++
+		c.proposal++
 	}
 	switch c.phase {
 	case phaseNew:
-		if c.world.options.Faults != (Faults{}) {
+		if c.sim.options.Faults != (Faults{}) {
 			c.begin()
 		}
 	case phaseAdmit:
 		c.propose(program.Command{Admit: c.admission()})
 	case phaseDispatch:
-		if c.world.step >= c.until {
+		if c.sim.step >= c.resumeAt {
 			c.proposeDispatch()
 		}
 	case phaseRunning:
 		c.run()
 	case phaseComplete:
-		c.propose(program.Command{Complete: &program.Complete{CallID: c.call.ID, Program: c.key, Attempt: c.attempt, Answer: c.complete}})
+		c.propose(program.Command{Complete: &program.Complete{CallID: c.call.ID, Program: c.key, Attempt: c.attempt, Answer: c.answer}})
 	case phaseFail:
-		failure := apierr.New(apierr.Cancelled, apierr.NotRun, "the caller gave up")
+		failure := apierr.New(apierr.Cancelled, apierr.NotRun, "the caller cancelled the call")
 		c.propose(program.Command{Fail: &program.Fail{CallID: c.call.ID, Program: c.key, Error: failure}})
-	case phaseLose:
+	case phaseLoseAttempt:
 		c.propose(program.Command{Lose: &program.LoseAttempt{CallID: c.call.ID, Program: c.key, Attempt: c.attempt}})
-	case phaseRest:
-		if c.world.step >= c.until {
+	case phaseIdle:
+		if c.sim.step >= c.resumeAt {
 			c.phase = phaseNew
 		}
 	}
 }
 
-// begin draws a new call.
+// begin starts a new call with random properties.
 func (c *client) begin() {
 	c.calls++
-	c.world.report.Calls++
-	random := c.world.random
+	c.sim.report.Calls++
+	random := c.sim.random
 	c.key = program.Key{Tenant: "t", Path: fmt.Sprintf("p%d", random.IntN(programs))}
 	if random.IntN(3) == 0 {
 		c.key.Path += "/sub"
 	}
 	c.call = program.Call{ID: fmt.Sprintf("c%d-%d", c.number, c.calls), Repeatable: random.IntN(2) == 0}
 	c.attempt, c.sent, c.refused = 0, false, false
-	c.op = &operation{client: c.number, program: c.key, callID: c.call.ID, invoked: c.world.step, returned: -1}
-	c.world.engine.operations = append(c.world.engine.operations, c.op)
+	c.op = &operation{client: c.number, program: c.key, callID: c.call.ID, invoked: c.sim.step, returned: -1}
+	c.sim.engine.operations = append(c.sim.engine.operations, c.op)
 	c.phase = phaseAdmit
 }
 
 func (c *client) admission() *program.Admit {
 	message, err := json.Marshal(map[string]string{"role": "user", "content": c.call.ID})
 	if err != nil {
-		c.world.fail("encoding a message: %s", err)
+		c.sim.fail("encoding a message: %s", err)
 	}
 	return &program.Admit{
 		CallID:     c.call.ID,
@@ -171,7 +175,7 @@
 func (c *client) gateway() string { return fmt.Sprintf("g%d", c.number) }
 
 func (c *client) proposeDispatch() {
-	if c.world.options.Sabotage.SendBeforeCommit && !c.sent {
+	if c.sim.options.Defects.SendBeforeCommit && !c.sent {
 		c.send()
 	}
 	c.propose(program.Command{Dispatch: &program.Dispatch{
@@ -179,9 +183,9 @@
 	}})
 }
 
-// answered takes the result of the latest command.
-func (c *client) answered(ticket int, result program.Result) {
-	if ticket != c.ticket || !c.waiting {
+// handleResult handles the result of a proposal, unless it is not the latest one.
+func (c *client) handleResult(proposal int, result program.Result) {
+	if proposal != c.proposal || !c.waiting {
 		return
 	}
 	c.waiting = false
@@ -194,34 +198,34 @@
 		c.completed(result)
 	case phaseFail:
 		c.failed(result)
-	case phaseLose:
-		c.lostAttempt(result)
+	case phaseLoseAttempt:
+		c.attemptLost(result)
 	}
 }
 
-// lostAttempt goes on with another attempt, if the state allows one.
-func (c *client) lostAttempt(result program.Result) {
+// attemptLost starts another attempt if the call can be repeated.
+func (c *client) attemptLost(result program.Result) {
 	if result.Call != nil && result.Call.State == program.Admitted {
 		c.phase = phaseDispatch
 		return
 	}
-	c.world.report.Unknown++
-	c.rest()
+	c.sim.report.Unknown++
+	c.finish()
 }
 
 func (c *client) admitted(result program.Result) {
 	if result.Error != nil {
-		// A refusal has no effect on the order.
-		c.op.returned, c.op.sequence = c.world.step, 0
-		c.world.report.NotRun++
-		c.world.engine.claimNotRun(c.call.ID)
-		c.rest()
+		// A rejected admission takes no sequence number.
+		c.op.returned, c.op.sequence = c.sim.step, 0
+		c.sim.report.NotRun++
+		c.sim.engine.recordNotRun(c.call.ID)
+		c.finish()
 		return
 	}
-	c.op.returned, c.op.sequence = c.world.step, result.Call.Sequence
+	c.op.returned, c.op.sequence = c.sim.step, result.Call.Sequence
 	c.call.Sequence = result.Call.Sequence
 	c.phase = phaseDispatch
-	if c.world.random.IntN(8) == 0 {
+	if c.sim.random.IntN(8) == 0 {
 		c.phase = phaseFail
 	}
 }
@@ -232,57 +236,57 @@
 			c.phase = phaseFail
 			return
 		}
-		c.until = c.world.step + turnPause
+		c.resumeAt = c.sim.step + sequenceGapRetryDelay
 		return
 	}
 	c.attempt = result.Call.Attempt
 	c.send()
 	c.phase = phaseRunning
-	c.until = c.world.step + 1 + c.world.random.IntN(longestRun)
+	c.resumeAt = c.sim.step + 1 + c.sim.random.IntN(maxRunSteps)
 }
 
-// send is the moment at which the request reaches the engine.
+// send delivers the request to the engine.
 func (c *client) send() {
 	c.sent = true
-	c.world.engine.receive(c.world, c.key, c.call, c.attempt)
+	c.sim.engine.receive(c.sim, c.key, c.call, c.attempt)
 }
 
-// run ends with the engine's answer, or with its loss.
+// run waits for the engine's answer, which may get lost.
 func (c *client) run() {
-	if c.world.step < c.until {
+	if c.sim.step < c.resumeAt {
 		return
 	}
-	if c.world.random.IntN(10) == 0 && c.world.options.Faults != (Faults{}) {
-		c.phase = phaseLose
+	if c.sim.random.IntN(10) == 0 && c.sim.options.Faults != (Faults{}) {
+		c.phase = phaseLoseAttempt
 		return
 	}
-	answer, err := json.Marshal(map[string]string{"role": "assistant", "content": "answer to " + c.call.ID})
+	message, err := json.Marshal(map[string]string{"role": "assistant", "content": "answer to " + c.call.ID})
 	if err != nil {
-		c.world.fail("encoding an answer: %s", err)
+		c.sim.fail("encoding an answer: %s", err)
 	}
-	c.complete = program.Answer{Message: answer, Usage: program.Usage{Prompt: 20, Completion: int64(c.world.random.IntN(60))}}
+	c.answer = program.Answer{Message: message, Usage: program.Usage{Prompt: 20, Completion: int64(c.sim.random.IntN(60))}}
 	c.phase = phaseComplete
 }
 
 func (c *client) completed(result program.Result) {
 	if result.Call == nil || result.Call.State != program.Completed {
-		c.world.report.Unknown++
+		c.sim.report.Unknown++
 	} else {
-		c.world.report.Completed++
-		c.world.engine.acknowledge(c.key, c.call.ID)
+		c.sim.report.Completed++
+		c.sim.engine.recordAnswer(c.key, c.call.ID)
 	}
-	c.rest()
+	c.finish()
 }
 
 func (c *client) failed(result program.Result) {
 	if result.Error != nil && result.Error.Outcome == apierr.NotRun && result.Call != nil && result.Call.State == program.Failed {
-		c.world.report.NotRun++
-		c.world.engine.claimNotRun(c.call.ID)
+		c.sim.report.NotRun++
+		c.sim.engine.recordNotRun(c.call.ID)
 	}
-	c.rest()
+	c.finish()
 }
 
-func (c *client) rest() {
-	c.phase = phaseRest
-	c.until = c.world.step + 1 + c.world.random.IntN(longestRest)
+func (c *client) finish() {
+	c.phase = phaseIdle
+	c.resumeAt = c.sim.step + 1 + c.sim.random.IntN(maxIdleSteps)
 }
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -7,159 +7,159 @@
 	"github.com/mountstile/mountstile/internal/consensus"
 )
 
-// injectFault starts one fault of the allowed kinds.
-func (w *World) injectFault() {
-	var kinds []func()
-	add := func(allowed bool, kind func()) {
-		if allowed {
-			kinds = append(kinds, kind)
+// injectFault starts one random fault of the enabled kinds.
+func (s *simulation) injectFault() {
+	var faults []func()
+	add := func(enabled bool, fault func()) {
+		if enabled {
+			faults = append(faults, fault)
 		}
 	}
-	add(w.options.Faults.Partition, w.partition)
-	add(w.options.Faults.Pause, w.pause)
-	add(w.options.Faults.Crash, w.crash)
-	add(w.options.Faults.Transfer, w.transfer)
-	add(w.options.Faults.Members, w.changeMembers)
-	if len(kinds) > 0 {
-		kinds[w.random.IntN(len(kinds))]()
+	add(s.options.Faults.Partition, s.partition)
+	add(s.options.Faults.Pause, s.pause)
+	add(s.options.Faults.Crash, s.crash)
+	add(s.options.Faults.Transfer, s.transfer)
+	add(s.options.Faults.Members, s.changeMembers)
+	if len(faults) > 0 {
+		faults[s.random.IntN(len(faults))]()
 	}
 }
 
-func (w *World) anyReplica() *replicaNode { return w.replicas[w.random.IntN(len(w.replicas))] }
+func (s *simulation) randomReplica() *replica { return s.replicas[s.random.IntN(len(s.replicas))] }
 
-// partition cuts one replica off from some others, in one direction or both.
-func (w *World) partition() {
-	w.report.Partitions++
-	victim := w.anyReplica()
-	until := w.step + 1 + w.random.IntN(longestFault)
-	oneWay := w.random.IntN(2) == 0
-	for _, other := range w.replicas {
-		if other == victim || w.random.IntN(4) == 0 {
+// partition blocks messages between one replica and some others, in one direction or both.
+func (s *simulation) partition() {
+	s.report.Partitions++
+	victim := s.randomReplica()
+	until := s.step + 1 + s.random.IntN(maxFaultSteps)
+	oneWay := s.random.IntN(2) == 0
+	for _, other := range s.replicas {
+		if other == victim || s.random.IntN(4) == 0 {
 			continue
 		}
-		w.blocked[[2]string{victim.id, other.id}] = until
+		s.blocked[[2]string{victim.id, other.id}] = until
 		if !oneWay {
-			w.blocked[[2]string{other.id, victim.id}] = until
+			s.blocked[[2]string{other.id, victim.id}] = until
 		}
 	}
 }
 
-// pause stops a process without ending it.
-func (w *World) pause() {
-	w.report.Pauses++
-	w.anyReplica().pausedUntil = w.step + 1 + w.random.IntN(longestFault)
+// pause suspends a replica without a restart.
+func (s *simulation) pause() {
+	s.report.Pauses++
+	s.randomReplica().pausedUntil = s.step + 1 + s.random.IntN(maxFaultSteps)
 }
 
-// crash ends a process; it comes back with what its storage holds.
-func (w *World) crash() {
-	node := w.anyReplica()
-	if w.step < node.downUntil {
+// crash stops a replica; it restarts later from its storage.
+func (s *simulation) crash() {
+	node := s.randomReplica()
+	if s.step < node.downUntil {
 		return
 	}
-	w.report.Crashes++
-	node.downUntil = w.step + 1 + w.random.IntN(longestFault)
-	for _, waiting := range node.waiters {
-		waiting.client.lost(waiting.ticket)
+	s.report.Crashes++
+	node.downUntil = s.step + 1 + s.random.IntN(maxFaultSteps)
+	for _, pending := range node.waiters {
+		pending.client.abandon(pending.proposal)
 	}
 	node.waiters = make(map[uint64]waiter)
-	if w.random.IntN(2) == 0 {
-		// The others often notice at once, by their broken connections.
-		for _, other := range w.replicas {
+	if s.random.IntN(2) == 0 {
+		// Closed connections often report a crash to the other replicas at once.
+		for _, other := range s.replicas {
 			other.core.LeaderDown(node.id)
 		}
 	}
 }
 
-func (w *World) transfer() {
-	leader := w.leader()
+func (s *simulation) transfer() {
+	leader := s.leader()
 	if leader == nil {
 		return
 	}
 	voters := leader.core.Members().Voters
-	target := voters[w.random.IntN(len(voters))]
+	target := voters[s.random.IntN(len(voters))]
 	if leader.core.TransferLeadership(target) == nil {
-		w.report.Transfers++
-		w.process(leader)
+		s.report.Transfers++
+		s.process(leader)
 	}
 }
 
 // changeMembers adds a learner, promotes one, or removes a voter.
-func (w *World) changeMembers() {
-	leader := w.leader()
+func (s *simulation) changeMembers() {
+	leader := s.leader()
 	if leader == nil {
 		return
 	}
-	next := leader.core.Members().Clone()
+	members := leader.core.Members().Clone()
 	switch {
-	case len(next.Learners) > 0:
-		id := next.Learners[0]
+	case len(members.Learners) > 0:
+		id := members.Learners[0]
 		if !leader.core.CaughtUp(id) {
 			return
 		}
-		next.Learners = next.Learners[1:]
-		next.Voters = append(next.Voters, id)
-	case len(next.Voters) > w.options.Nodes:
-		index := w.random.IntN(len(next.Voters))
-		next.Voters = slices.Delete(next.Voters, index, index+1)
+		members.Learners = members.Learners[1:]
+		members.Voters = append(members.Voters, id)
+	case len(members.Voters) > s.options.Nodes:
+		index := s.random.IntN(len(members.Voters))
+		members.Voters = slices.Delete(members.Voters, index, index+1)
 	default:
-		node := &replicaNode{id: fmt.Sprintf("r%d", len(w.replicas)+1)}
-		w.replicas = append(w.replicas, node)
-		w.boot(node)
-		next.Learners = append(next.Learners, node.id)
+		node := &replica{id: fmt.Sprintf("r%d", len(s.replicas)+1)}
+		s.replicas = append(s.replicas, node)
+		s.start(node)
+		members.Learners = append(members.Learners, node.id)
 	}
-	if _, _, err := leader.core.ProposeMembers(next); err == nil {
-		w.report.MemberSteps++
-		w.process(leader)
+	if _, _, err := leader.core.ProposeMembers(members); err == nil {
+		s.report.MemberSteps++
+		s.process(leader)
 	}
 }
 
-// check looks for broken promises of the consensus itself.
-func (w *World) check() {
-	for _, node := range w.replicas {
-		if !w.running(node) || node.core.Role() != consensus.Leader {
+// check checks the invariants that must hold after each step: one leader per term, and budgets.
+func (s *simulation) check() {
+	for _, node := range s.replicas {
+		if !s.running(node) || node.core.Role() != consensus.Leader {
 			continue
 		}
 		term := node.core.Term()
-		if known, exists := w.leaders[term]; exists && known != node.id {
-			w.fail("%s and %s lead term %d", known, node.id, term)
+		if other, exists := s.leaders[term]; exists && other != node.id {
+			s.fail("%s and %s are both leaders of term %d", other, node.id, term)
 		}
-		if w.leaders[term] == "" {
-			w.report.Elections++
+		if s.leaders[term] == "" {
+			s.report.Elections++
 		}
-		w.leaders[term] = node.id
+		s.leaders[term] = node.id
 		for _, violation := range checkBudgets(node) {
-			w.fail("%s", violation)
+			s.fail("%s", violation)
 		}
 	}
 }
 
 const settleSteps = 3000
 
-// settle ends all faults, lets every client finish, and compares the replicas.
-func (w *World) settle() {
-	w.options.Faults = Faults{}
-	clear(w.blocked)
-	for _, node := range w.replicas {
-		node.pausedUntil = min(node.pausedUntil, w.step)
-		if node.downUntil > w.step {
-			node.downUntil = w.step + 1
+// settle ends all faults, lets the clients finish their calls, and checks the outcome.
+func (s *simulation) settle() {
+	s.options.Faults = Faults{}
+	clear(s.blocked)
+	for _, node := range s.replicas {
+		node.pausedUntil = min(node.pausedUntil, s.step)
+		if node.downUntil > s.step {
+			node.downUntil = s.step + 1
 		}
 	}
-	end := w.step + settleSteps
-	for ; w.step < end && w.failure == ""; w.step++ {
-		w.advance()
-		if w.allIdle() && w.step > end-settleSteps/2 {
+	end := s.step + settleSteps
+	for ; s.step < end && s.failure == ""; s.step++ {
+		s.advance()
+		if s.allIdle() && s.step > end-settleSteps/2 {
 			break
 		}
 	}
-	if w.failure == "" {
-		w.checkOutcome()
+	if s.failure == "" {
+		s.checkOutcome()
 	}
 }
 
-func (w *World) allIdle() bool {
-	for _, item := range w.clients {
-		if !item.idle() {
+func (s *simulation) allIdle() bool {
+	for _, client := range s.clients {
+		if !client.idle() {
 			return false
 		}
 	}
--- a/internal/simulate/ledger.go
+++ b/internal/simulate/ledger.go
@@ -10,15 +10,17 @@
 	"github.com/mountstile/mountstile/internal/program"
 )
 
-// ledger is what the engine saw and what callers were told; the checks compare both.
+// ledger records the requests that reached the engine and the results that callers got.
 type ledger struct {
 	operations []*operation
-	// attempts counts how often each call reached the engine.
+	// attempts counts the requests of each call that reached the engine.
 	attempts map[string]int
-	// lastSequence is the place of the latest call of each program that reached the engine.
+	// lastSequence is the highest sequence number of each program that reached the engine.
 	lastSequence map[program.Key]uint64
-	notRun       map[string]bool
-	acknowledged map[program.Key][]string
+	// notRun holds the calls whose callers got the outcome not_run.
+	notRun map[string]bool
+	// answered lists the calls of each program whose callers got an answer.
+	answered map[program.Key][]string
 }
 
 func newLedger() *ledger {
@@ -26,39 +28,39 @@
 		attempts:     make(map[string]int),
 		lastSequence: make(map[program.Key]uint64),
 		notRun:       make(map[string]bool),
-		acknowledged: make(map[program.Key][]string),
+		answered:     make(map[program.Key][]string),
 	}
 }
 
-// receive is called when a request reaches the engine.
-func (l *ledger) receive(world *World, key program.Key, call program.Call, attempt int) {
+// receive records a request that reached the engine and checks it against earlier ones.
+func (l *ledger) receive(sim *simulation, key program.Key, call program.Call, attempt int) {
 	l.attempts[call.ID]++
 	if !call.Repeatable && l.attempts[call.ID] > 1 {
-		world.fail("doubled: call %s is not repeatable and reached the engine twice", call.ID)
+		sim.fail("duplicate execution: call %s is not repeatable and reached the engine twice", call.ID)
 	}
 	if l.notRun[call.ID] {
-		world.fail("false not_run: call %s reached the engine in attempt %d", call.ID, attempt)
+		sim.fail("false not_run: call %s reached the engine in attempt %d", call.ID, attempt)
 	}
 	if call.Sequence < l.lastSequence[key] {
-		world.fail("reordered: call %d of %s reached the engine after call %d", call.Sequence, key.Path, l.lastSequence[key])
+		sim.fail("out of order: call %d of %s reached the engine after call %d", call.Sequence, key.Path, l.lastSequence[key])
 	}
 	l.lastSequence[key] = max(l.lastSequence[key], call.Sequence)
 }
 
-// claimNotRun notes that a caller was told that its call was not run.
-func (l *ledger) claimNotRun(callID string) { l.notRun[callID] = true }
+// recordNotRun records that a caller got the outcome not_run.
+func (l *ledger) recordNotRun(callID string) { l.notRun[callID] = true }
 
-// acknowledge notes that a caller got its answer.
-func (l *ledger) acknowledge(key program.Key, callID string) {
-	l.acknowledged[key] = append(l.acknowledged[key], callID)
+// recordAnswer records that a caller got its answer.
+func (l *ledger) recordAnswer(key program.Key, callID string) {
+	l.answered[key] = append(l.answered[key], callID)
 }
 
-// checkBudgets looks for programs that have spent, or could spend, more than their budget.
-func checkBudgets(node *replicaNode) []string {
+// checkBudgets reports programs whose used and reserved tokens exceed the budget.
+func checkBudgets(node *replica) []string {
 	var violations []string
 	for _, summary := range node.machine.Summaries("") {
 		if summary.Used+summary.Reserved > tokenBudget {
-			violations = append(violations, fmt.Sprintf("over budget: program %s holds %d tokens of %d", summary.Key.Path, summary.Used+summary.Reserved, tokenBudget))
+			violations = append(violations, fmt.Sprintf("over budget: program %s uses or reserves %d tokens of %d", summary.Key.Path, summary.Used+summary.Reserved, tokenBudget))
 		}
 		if summary.Reserved < 0 {
 			violations = append(violations, fmt.Sprintf("program %s has a negative reservation", summary.Key.Path))
@@ -67,26 +69,26 @@
 	return violations
 }
 
-// checkOutcome runs at the end: nothing acknowledged is lost or mixed, nothing claimed "not run"
-// ran, and the admissions are linearizable.
-func (w *World) checkOutcome() {
-	leader := w.leader()
+// checkOutcome checks at the end of a run that each answer is in its program's history exactly once, that
+// no call with the outcome not_run reached the engine, and that admissions are linearizable.
+func (s *simulation) checkOutcome() {
+	leader := s.leader()
 	if leader == nil {
-		w.fail("no leader after all faults have ended")
+		s.fail("no leader after all faults ended")
 		return
 	}
-	for callID := range w.engine.notRun {
-		if w.engine.attempts[callID] > 0 {
-			w.fail("false not_run: call %s reached the engine", callID)
+	for callID := range s.engine.notRun {
+		if s.engine.attempts[callID] > 0 {
+			s.fail("false not_run: call %s reached the engine", callID)
 		}
 	}
-	for key, calls := range w.engine.acknowledged {
-		w.checkHistory(leader, key, calls)
+	for key, calls := range s.engine.answered {
+		s.checkHistory(leader, key, calls)
 	}
-	w.checkLinearizable()
+	s.checkLinearizable()
 }
 
-func (w *World) checkHistory(leader *replicaNode, key program.Key, calls []string) {
+func (s *simulation) checkHistory(leader *replica, key program.Key, calls []string) {
 	var texts []string
 	for _, message := range leader.machine.History(key) {
 		texts = append(texts, string(message))
@@ -94,18 +96,18 @@
 	history := strings.Join(texts, "\n")
 	for _, callID := range calls {
 		if strings.Count(history, `"answer to `+callID+`"`) != 1 {
-			w.fail("lost: the answer to %s stands %d times in the history of %s", callID, strings.Count(history, `"answer to `+callID+`"`), key.Path)
+			s.fail("lost or repeated: the answer to %s is %d times in the history of %s", callID, strings.Count(history, `"answer to `+callID+`"`), key.Path)
 		}
 	}
-	for position, text := range texts {
-		if position%2 == 0 && position+1 < len(texts) && !matching(text, texts[position+1]) {
-			w.fail("mixed: %s is followed by %s", text, texts[position+1])
+	for index, text := range texts {
+		if index%2 == 0 && index+1 < len(texts) && !isAnswerTo(text, texts[index+1]) {
+			s.fail("wrong answer: %s is followed by %s", text, texts[index+1])
 		}
 	}
 }
 
-// matching reports whether an answer follows its own question.
-func matching(question, answer string) bool {
+// isAnswerTo reports whether the answer belongs to the question.
+func isAnswerTo(question, answer string) bool {
 	start := strings.Index(question, `"content":"`)
 	if start < 0 {
 		return false
@@ -114,24 +116,26 @@
 	return strings.Contains(answer, `"answer to `+callID+`"`)
 }
 
-// admissionInput and admissionOutput are one admission of the sequential model: a program's
-// admissions number its calls without gaps.
+// admissionInput and admissionOutput are the operations of the sequential model, in which a program's
+// admissions get consecutive sequence numbers.
 type admissionInput struct{ program program.Key }
 
 type admissionOutput struct {
+	// sequence is 0 if the admission was rejected.
 	sequence uint64
-	known    bool
+	// known is false if the response did not arrive.
+	known bool
 }
 
-// checkLinearizable checks with porcupine that each program's places were given out as if by one
-// counter, in an order that fits real time.
-func (w *World) checkLinearizable() {
+// checkLinearizable checks with porcupine that the admissions of each program are linearizable with
+// respect to a counter.
+func (s *simulation) checkLinearizable() {
 	model := porcupine.Model{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 			byProgram := make(map[program.Key][]porcupine.Operation)
-			for _, item := range history {
-				key := item.Input.(admissionInput).program
-				byProgram[key] = append(byProgram[key], item)
+			for _, op := range history {
+				key := op.Input.(admissionInput).program
+				byProgram[key] = append(byProgram[key], op)
 			}
 			var parts [][]porcupine.Operation
 			for _, part := range byProgram {
@@ -153,20 +157,20 @@
 		},
 	}
 	var history []porcupine.Operation
-	for _, item := range w.engine.operations {
+	for _, op := range s.engine.operations {
 		record := porcupine.Operation{
-			ClientId: item.client,
-			Input:    admissionInput{item.program},
-			Call:     int64(item.invoked),
-			Output:   admissionOutput{sequence: item.sequence, known: item.returned >= 0},
-			Return:   int64(item.returned),
+			ClientId: op.client,
+			Input:    admissionInput{op.program},
+			Call:     int64(op.invoked),
+			Output:   admissionOutput{sequence: op.sequence, known: op.returned >= 0},
+			Return:   int64(op.returned),
 		}
-		if item.returned < 0 {
+		if op.returned < 0 {
 			record.Return = math.MaxInt64
 		}
 		history = append(history, record)
 	}
 	if !porcupine.CheckOperations(model, history) {
-		w.fail("the admissions are not linearizable")
+		s.fail("admissions are not linearizable")
 	}
 }
--- a/internal/simulate/shrink.go
+++ b/internal/simulate/shrink.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// faultSwitch names one kind of fault for the command line and for shrinking.
-type faultSwitch struct {
-	name string
-	of   func(*Faults) *bool
+// faultKind is a kind of fault, with its name on the command line and its field in Faults.
+type faultKind struct {
+	name  string
+	field func(*Faults) *bool
 }
 
-var faultSwitches = []faultSwitch{
+var faultKinds = []faultKind{
 	{"drop", func(f *Faults) *bool { return &f.Drop }},
 	{"delay", func(f *Faults) *bool { return &f.Delay }},
 	{"duplicate", func(f *Faults) *bool { return &f.Duplicate }},
@@ -23,13 +23,13 @@
 	{"compact", func(f *Faults) *bool { return &f.Compact }},
 }
 
-// ErrUnknownFault refuses a name that is no kind of fault.
+// ErrUnknownFault reports a name that is not a kind of fault.
 type ErrUnknownFault struct{ Name string }
 
 // Error implements error.
 func (e *ErrUnknownFault) Error() string { return fmt.Sprintf("%q is not a kind of fault", e.Name) }
 
-// ParseFaults reads a comma-separated list; "all" means every kind.
+// ParseFaults parses a comma-separated list of fault kinds; "all" means every kind.
 func ParseFaults(list string) (Faults, error) {
 	if list == "all" {
 		return AllFaults(), nil
@@ -37,9 +37,9 @@
 	var faults Faults
 	for name := range strings.SplitSeq(list, ",") {
 		found := false
-		for _, item := range faultSwitches {
-			if item.name == name {
-				*item.of(&faults), found = true, true
+		for _, kind := range faultKinds {
+			if kind.name == name {
+				*kind.field(&faults), found = true, true
 			}
 		}
 		if !found {
@@ -49,30 +49,30 @@
 	return faults, nil
 }
 
-// String lists the kinds that are on.
+// String returns the enabled kinds in the format of ParseFaults.
 func (f Faults) String() string {
 	var names []string
-	for _, item := range faultSwitches {
-		if *item.of(&f) {
-			names = append(names, item.name)
+	for _, kind := range faultKinds {
+		if *kind.field(&f) {
+			names = append(names, kind.name)
 		}
 	}
 	return strings.Join(names, ",")
 }
 
-// Shrink looks for a smaller run that still breaks a promise: fewer kinds of fault, then no more
-// steps than it takes. It returns the options and their violation.
+// Shrink reduces the fault kinds, then the steps, of a failing run as long as it still fails. It returns the
+// reduced options and their violation.
 func Shrink(options Options) (Options, error) {
 	_, violation := Run(options)
 	if violation == nil {
 		return options, nil
 	}
-	for _, item := range faultSwitches {
-		if !*item.of(&options.Faults) {
+	for _, kind := range faultKinds {
+		if !*kind.field(&options.Faults) {
 			continue
 		}
 		smaller := options
-		*item.of(&smaller.Faults) = false
+		*kind.field(&smaller.Faults) = false
 		if _, err := Run(smaller); err != nil {
 			options, violation = smaller, err
 		}
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	fixedSeeds = 40
-	stepsOfRun = 1500
+	seedCount = 40
+	runSteps  = 1500
 )
 
-// TestInvariantsHoldUnderFaults plays a fixed set of seeds with all faults together.
+// TestInvariantsHoldUnderFaults checks a fixed set of seeds with all kinds of fault at once.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	var completed, elections int
-	for seed := uint64(1); seed <= fixedSeeds; seed++ {
-		report, err := simulate.Run(simulate.Options{Seed: seed, Steps: stepsOfRun, Nodes: 3, Faults: simulate.AllFaults()})
+	for seed := uint64(1); seed <= seedCount; seed++ {
+		report, err := simulate.Run(simulate.Options{Seed: seed, Steps: runSteps, Nodes: 3, Faults: simulate.AllFaults()})
 		assert.NilError(t, err)
 		completed += report.Completed
 		elections += report.Elections
 	}
-	assert.Assert(t, completed > 0 && elections > fixedSeeds, "%d calls, %d elections", completed, elections)
+	assert.Assert(t, completed > 0 && elections > seedCount, "%d calls, %d elections", completed, elections)
 }
 
-// TestEachFaultAlone shows that each kind of fault is survived by itself, on five replicas too.
+// TestEachFaultAlone checks each kind of fault by itself, crashes and member changes with compaction, on five replicas.
 func TestEachFaultAlone(t *testing.T) {
 	kinds := map[string]simulate.Faults{
 		"drop":      {Drop: true},
@@ -40,7 +40,7 @@
 	for name, faults := range kinds {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 5; seed++ {
-				report, err := simulate.Run(simulate.Options{Seed: seed, Steps: stepsOfRun, Nodes: 5, Faults: faults})
+				report, err := simulate.Run(simulate.Options{Seed: seed, Steps: runSteps, Nodes: 5, Faults: faults})
 				assert.NilError(t, err)
 				assert.Assert(t, report.Completed > 0)
 			}
@@ -48,33 +48,33 @@
 	}
 }
 
-// TestChecksCanFail breaks the product on purpose: the checks must notice within a few seeds.
+// TestChecksCanFail checks that the invariant checks detect injected defects.
 func TestChecksCanFail(t *testing.T) {
 	defects := map[string]struct {
-		sabotage simulate.Sabotage
-		// first is a seed shortly before one that notices; the search there saves time.
-		first uint64
+		enabled simulate.Defects
+		// firstSeed is close to a seed that detects the defect.
+		firstSeed uint64
 	}{
-		"send before commit": {simulate.Sabotage{SendBeforeCommit: true}, 1},
-		"forgotten votes":    {simulate.Sabotage{ForgetVotes: true}, 150},
+		"send before commit": {simulate.Defects{SendBeforeCommit: true}, 1},
+		"lost hard state":    {simulate.Defects{LoseHardState: true}, 150},
 	}
 	for name, defect := range defects {
 		t.Run(name, func(t *testing.T) {
-			for seed := defect.first; seed < defect.first+200; seed++ {
-				_, err := simulate.Run(simulate.Options{Seed: seed, Steps: stepsOfRun, Nodes: 3, Faults: simulate.AllFaults(), Sabotage: defect.sabotage})
+			for seed := defect.firstSeed; seed < defect.firstSeed+200; seed++ {
+				_, err := simulate.Run(simulate.Options{Seed: seed, Steps: runSteps, Nodes: 3, Faults: simulate.AllFaults(), Defects: defect.enabled})
 				if err != nil {
-					t.Logf("noticed: %s", err)
+					t.Logf("detected: %s", err)
 					return
 				}
 			}
-			t.Fatal("no seed noticed the defect")
+			t.Fatal("no seed detected the defect")
 		})
 	}
 }
 
-// TestRunsAreRepeatable shows that a seed gives the same run each time.
+// TestRunsAreRepeatable checks that a run depends only on its options.
 func TestRunsAreRepeatable(t *testing.T) {
-	options := simulate.Options{Seed: 7, Steps: stepsOfRun, Nodes: 3, Faults: simulate.AllFaults()}
+	options := simulate.Options{Seed: 7, Steps: runSteps, Nodes: 3, Faults: simulate.AllFaults()}
 	first, err := simulate.Run(options)
 	assert.NilError(t, err)
 	second, err := simulate.Run(options)
