--- a/internal/standin/machineserver/machineserver.go
+++ b/internal/standin/machineserver/machineserver.go
@@ -1,5 +1,5 @@
-// Package machineserver is a stand-in for the platform's list of live and leaving machines. What it
-// shows lags behind what is set.
+// Package machineserver emulates the platform's list of live and leaving machines. Changes become visible
+// after a delay.
 package machineserver
 
 import (
@@ -11,69 +11,69 @@
 	"time"
 )
 
-// MachinesPath shows the list with GET and changes one machine with PUT.
+// MachinesPath lists the machines with GET and changes one with PUT.
 const (
 	MachinesPath = "/machines"
 	maxBody      = 1 << 20
 )
 
-// State is what the platform plans for a machine.
+// State is the platform's state of a machine.
 type State string
 
-// The states of a machine.
+// States of a machine. Machines that are Gone are not listed.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 	Gone    State = "gone"
 )
 
-// Machine is one entry.
+// Machine is one entry of the list.
 type Machine struct {
 	Address string `json:"address"`
 	State   State  `json:"state"`
 }
 
 type change struct {
-	machine Machine
-	visible time.Time
+	machine   Machine
+	visibleAt time.Time
 }
 
-// Server is the stand-in as an http.Handler.
+// Server serves the list as an http.Handler.
 type Server struct {
-	mux *http.ServeMux
-	lag time.Duration
+	mux   *http.ServeMux
+	delay time.Duration
 
 	mutex   sync.Mutex
 	changes []change
 }
 
-// New returns a Server whose list lags by the given time.
-func New(lag time.Duration) *Server {
-	server := &Server{mux: http.NewServeMux(), lag: lag}
-	server.mux.HandleFunc("GET "+MachinesPath, server.list)
-	server.mux.HandleFunc("PUT "+MachinesPath, server.put)
+// New returns a Server with an empty list, whose changes become visible after the delay.
+func New(delay time.Duration) *Server {
+	server := &Server{mux: http.NewServeMux(), delay: delay}
+	server.mux.HandleFunc("GET "+MachinesPath, server.handleList)
+	server.mux.HandleFunc("PUT "+MachinesPath, server.handlePut)
 	return server
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Set changes one machine; the list shows it after the lag.
+// Set changes one machine after the server's delay.
 func (s *Server) Set(machine Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.changes = append(s.changes, change{machine: machine, visible: time.Now().Add(s.lag)})
+	s.changes = append(s.changes, change{machine: machine, visibleAt: time.Now().Add(s.delay)})
 }
 
-// Visible returns what the list shows now.
+// Visible returns the current list, sorted by address.
 func (s *Server) Visible() []Machine {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
 	states := make(map[string]State)
-	for _, item := range s.changes {
-		if !item.visible.After(now) {
-			states[item.machine.Address] = item.machine.State
+	for _, change := range s.changes {
+		if !change.visibleAt.After(now) {
+			states[change.machine.Address] = change.machine.State
 		}
 	}
 	machines := []Machine{}
@@ -86,12 +86,12 @@
 	return machines
 }
 
-func (s *Server) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleList(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(s.Visible())
 }
 
-func (s *Server) put(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
 	var machine Machine
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&machine); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
