--- a/internal/standin/memorylog/memorylog.go
+++ b/internal/standin/memorylog/memorylog.go
@@ -1,4 +1,4 @@
-// Package memorylog is a log in memory that a test reads while processes write it.
+// Package memorylog is an in-memory log that a test can read while other goroutines write to it.
 //
 // Usage:
 //
@@ -13,8 +13,8 @@
 	"sync"
 )
 
-// Log is an io.Writer that keeps what it gets. The zero value is ready for use; all methods may be called
-// concurrently.
+// Log is an io.Writer that keeps everything written to it. The zero value is ready for use. It is safe for
+// concurrent use.
 type Log struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -27,12 +27,12 @@
 	return l.buffer.Write(data)
 }
 
-// Text is all that was written.
+// Text returns everything written so far.
 func (l *Log) Text() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.buffer.String()
 }
 
-// Count is how often a text was written.
+// Count returns the number of occurrences of text.
 func (l *Log) Count(text string) int { return strings.Count(l.Text(), text) }
