--- a/internal/standin/storeserver/storeserver.go
+++ b/internal/standin/storeserver/storeserver.go
@@ -1,6 +1,6 @@
-// Package storeserver is a stand-in for the platform's key-value service: the parts of the etcd v3
-// JSON gateway that this project uses, in memory, with a rate limit, outages, slowness, lost
-// answers, compaction and rollback that can be switched at run time.
+// Package storeserver emulates the platform's key-value service: the parts of the etcd v3 JSON gateway
+// that this project uses, in memory. At run time it can inject a rate limit, outages, delays, lost
+// responses, compaction and rollback.
 package storeserver
 
 import (
@@ -15,33 +15,33 @@
 	"github.com/mountstile/mountstile/internal/configstore/etcdgateway"
 )
 
-// Paths beyond the gateway's.
+// Paths of leases and of the control API, in addition to those of etcdgateway.
 const (
-	FaultsPath     = "/faults"
-	RollbackPath   = "/rollback"
-	CompactPath    = "/compact"
-	LeaseGrantPath = "/v3/lease/grant"
-	LeaseKeepPath  = "/v3/lease/keepalive"
-	LeaseEndPath   = "/v3/lease/revoke"
-	CountsPath     = "/counts"
-	maxBody        = 32 << 20
+	FaultsPath         = "/faults"
+	RollbackPath       = "/rollback"
+	CompactPath        = "/compact"
+	LeaseGrantPath     = "/v3/lease/grant"
+	LeaseKeepAlivePath = "/v3/lease/keepalive"
+	LeaseRevokePath    = "/v3/lease/revoke"
+	CountsPath         = "/counts"
+	maxBody            = 32 << 20
 )
 
-// Faults are the failures that the store shows.
+// Faults selects the faults that the store injects.
 type Faults struct {
-	// Down refuses everything with 503.
+	// Down rejects every request with status 503.
 	Down bool `json:"down,omitempty"`
-	// DelayMillis slows every answer.
+	// DelayMillis delays every request by this number of milliseconds.
 	DelayMillis int `json:"delay_ms,omitempty"`
-	// LoseAnswers executes transactions and cuts the connection instead of answering.
+	// LoseAnswers executes transactions and then aborts the connection without a response.
 	LoseAnswers bool `json:"lose_answers,omitempty"`
-	// DropEvents keeps watch events to itself.
+	// DropEvents drops watch events.
 	DropEvents bool `json:"drop_events,omitempty"`
-	// RequestsPerSecond limits requests; 0 means no limit.
+	// RequestsPerSecond is the rate limit; 0 means none.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 }
 
-// Counts is how often each request was served.
+// Counts holds the numbers of requests by kind, and of those rejected by the rate limit.
 type Counts struct {
 	Ranges       int64 `json:"ranges"`
 	Transactions int64 `json:"transactions"`
@@ -61,15 +61,17 @@
 	expires time.Time
 }
 
-// Server is the stand-in as an http.Handler.
+// Server serves the store as an http.Handler.
 type Server struct {
 	mux *http.ServeMux
 
-	mutex     sync.Mutex
-	revision  int64
+	mutex    sync.Mutex
+	revision int64
+	// compacted is the revision of the last compaction.
 	compacted int64
-	// history holds all versions of each key, oldest first.
-	history  map[string][]version
+	// history holds the versions of each key, oldest first.
+	history map[string][]version
+	// watchers holds a channel for each watch, which signals a change.
 	watchers map[chan struct{}]struct{}
 	leases   map[int64]lease
 	faults   Faults
@@ -87,12 +89,12 @@
 		leases:   make(map[int64]lease),
 		limiter:  rate.NewLimiter(rate.Inf, 1),
 	}
-	server.mux.HandleFunc("POST "+etcdgateway.RangePath, server.guarded(server.handleRange))
-	server.mux.HandleFunc("POST "+etcdgateway.TxnPath, server.guarded(server.handleTxn))
-	server.mux.HandleFunc("POST "+etcdgateway.WatchPath, server.guarded(server.handleWatch))
-	server.mux.HandleFunc("POST "+LeaseGrantPath, server.guarded(server.handleGrant))
-	server.mux.HandleFunc("POST "+LeaseKeepPath, server.guarded(server.handleKeepAlive))
-	server.mux.HandleFunc("POST "+LeaseEndPath, server.guarded(server.handleRevoke))
+	server.mux.HandleFunc("POST "+etcdgateway.RangePath, server.withFaults(server.handleRange))
+	server.mux.HandleFunc("POST "+etcdgateway.TxnPath, server.withFaults(server.handleTxn))
+	server.mux.HandleFunc("POST "+etcdgateway.WatchPath, server.withFaults(server.handleWatch))
+	server.mux.HandleFunc("POST "+LeaseGrantPath, server.withFaults(server.handleGrant))
+	server.mux.HandleFunc("POST "+LeaseKeepAlivePath, server.withFaults(server.handleKeepAlive))
+	server.mux.HandleFunc("POST "+LeaseRevokePath, server.withFaults(server.handleRevoke))
 	server.mux.HandleFunc("PUT "+FaultsPath, server.handleFaults)
 	server.mux.HandleFunc("POST "+CompactPath, server.handleCompact)
 	server.mux.HandleFunc("POST "+RollbackPath, server.handleRollback)
@@ -103,7 +105,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults switches failures.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -114,18 +116,18 @@
 	}
 	s.limiter.SetLimit(limit)
 	s.limiter.SetBurst(max(1, int(faults.RequestsPerSecond)))
-	s.wakeWatchers()
+	s.notifyWatchers()
 }
 
-// Counts returns how often each request was served.
+// Counts returns the numbers of requests so far.
 func (s *Server) Counts() Counts {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.counts
 }
 
-// guarded shows the faults that strike any request.
-func (s *Server) guarded(handler http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the delay, the outage and the rate limit to a handler.
+func (s *Server) withFaults(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		faults := s.faults
@@ -145,7 +147,7 @@
 		}
 		switch {
 		case faults.Down:
-			writeError(w, http.StatusServiceUnavailable, "the store is down")
+			writeError(w, http.StatusServiceUnavailable, "store is unavailable")
 		case limited:
 			writeError(w, http.StatusTooManyRequests, "too many requests")
 		default:
@@ -160,6 +162,7 @@
 	Message string `json:"message"`
 }
 
+// grpcUnavailable is the gRPC status code UNAVAILABLE.
 const (
 	grpcUnavailable = 14
 )
@@ -184,14 +187,14 @@
 	return body, true
 }
 
-// latest returns a key's present version.
+// latest returns a key's current version, unless it is deleted or its lease has expired.
 func (s *Server) latest(key string) (version, bool) {
 	versions := s.history[key]
 	if len(versions) == 0 {
 		return version{}, false
 	}
 	last := versions[len(versions)-1]
-	if held, leased := s.leases[last.lease]; last.deleted || last.lease != 0 && (!leased || time.Now().After(held.expires)) {
+	if granted, exists := s.leases[last.lease]; last.deleted || last.lease != 0 && (!exists || time.Now().After(granted.expires)) {
 		return version{}, false
 	}
 	return last, true
@@ -266,19 +269,19 @@
 	}
 	if wrote {
 		s.revision++
-		s.wakeWatchers()
+		s.notifyWatchers()
 	}
 	response.Header.Revision = s.revision
 	return response
 }
 
-// put writes at the next revision; all puts of a transaction share it.
+// put writes a version at the next revision, which all puts of a transaction share.
 func (s *Server) put(request etcdgateway.PutRequest) {
 	key := string(request.Key)
 	s.history[key] = append(s.history[key], version{value: request.Value, revision: s.revision + 1, lease: request.Lease})
 }
 
-func (s *Server) wakeWatchers() {
+func (s *Server) notifyWatchers() {
 	for watcher := range s.watchers {
 		select {
 		case watcher <- struct{}{}:
@@ -299,7 +302,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Compact forgets old versions; watches that would need them are cancelled.
+// Compact discards all but the latest version of each key; new watches that start at a discarded revision are cancelled.
 func (s *Server) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -320,26 +323,26 @@
 	}
 }
 
-// Revision returns the store's revision.
+// Revision returns the store's current revision.
 func (s *Server) Revision() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.revision
 }
 
-// Rollback restores an earlier state, as an operator does who restores an old backup.
+// Rollback restores the state at an earlier revision, like the restore of an old backup.
 func (s *Server) Rollback(revision int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for key, versions := range s.history {
 		kept := versions[:0:0]
-		for _, item := range versions {
-			if item.revision <= revision {
-				kept = append(kept, item)
+		for _, candidate := range versions {
+			if candidate.revision <= revision {
+				kept = append(kept, candidate)
 			}
 		}
 		s.history[key] = kept
 	}
 	s.revision = revision
-	s.wakeWatchers()
+	s.notifyWatchers()
 }
--- a/internal/standin/storeserver/watch.go
+++ b/internal/standin/storeserver/watch.go
@@ -13,10 +13,10 @@
 	if !ok {
 		return
 	}
-	wake := make(chan struct{}, 1)
+	changed := make(chan struct{}, 1)
 	s.mutex.Lock()
 	s.counts.Watches++
-	s.watchers[wake] = struct{}{}
+	s.watchers[changed] = struct{}{}
 	next := request.Create.StartRevision
 	if next == 0 {
 		next = s.revision + 1
@@ -25,7 +25,7 @@
 	s.mutex.Unlock()
 	defer func() {
 		s.mutex.Lock()
-		delete(s.watchers, wake)
+		delete(s.watchers, changed)
 		s.mutex.Unlock()
 	}()
 	encoder := json.NewEncoder(w)
@@ -35,24 +35,24 @@
 	}
 	_ = encoder.Encode(etcdgateway.WatchResponse{Result: etcdgateway.WatchResult{Created: true}})
 	_ = http.NewResponseController(w).Flush()
-	s.follow(w, r, string(request.Create.Key), next, wake)
+	s.sendVersions(w, r, string(request.Create.Key), next, changed)
 }
 
-// follow sends the versions of a key from a revision on, as they come.
-func (s *Server) follow(w http.ResponseWriter, r *http.Request, key string, next int64, wake chan struct{}) {
+// sendVersions streams the versions of a key from revision next on, until the client disconnects or the store is down.
+func (s *Server) sendVersions(w http.ResponseWriter, r *http.Request, key string, next int64, changed chan struct{}) {
 	encoder := json.NewEncoder(w)
 	for {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-wake:
+		case <-changed:
 		}
 		s.mutex.Lock()
 		down, drop := s.faults.Down, s.faults.DropEvents
 		var result etcdgateway.WatchResult
-		for _, item := range s.history[key] {
-			if item.revision >= next {
-				result.Events = append(result.Events, etcdgateway.WatchEvent{KV: etcdgateway.KeyValue{Key: []byte(key), Value: item.value, ModRevision: item.revision}})
+		for _, version := range s.history[key] {
+			if version.revision >= next {
+				result.Events = append(result.Events, etcdgateway.WatchEvent{KV: etcdgateway.KeyValue{Key: []byte(key), Value: version.value, ModRevision: version.revision}})
 			}
 		}
 		next = s.revision + 1
@@ -100,11 +100,11 @@
 		return
 	}
 	s.mutex.Lock()
-	held, known := s.leases[request.ID]
-	if known && time.Now().Before(held.expires) {
-		held.expires = time.Now().Add(held.ttl)
-		s.leases[request.ID] = held
-		request.TTL = int64(held.ttl / time.Second)
+	granted, exists := s.leases[request.ID]
+	if exists && time.Now().Before(granted.expires) {
+		granted.expires = time.Now().Add(granted.ttl)
+		s.leases[request.ID] = granted
+		request.TTL = int64(granted.ttl / time.Second)
 	} else {
 		request.TTL = 0
 	}
