--- a/internal/standin/toolserver/toolserver.go
+++ b/internal/standin/toolserver/toolserver.go
@@ -1,5 +1,5 @@
-// Package toolserver is a stand-in for the tools that agent programs call: it answers after the
-// delay that a request asks for, or not at all.
+// Package toolserver emulates the tools that agent programs call. It responds after the delay in the
+// request, or never.
 package toolserver
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// CallPath takes tool calls; HangPath switches hanging on and off.
+// CallPath accepts tool calls. HangPath makes calls hang; its query parameter on=false ends that.
 const (
 	CallPath = "/call"
 	HangPath = "/hang"
@@ -23,23 +23,23 @@
 	DelayMillis int64  `json:"delay_ms"`
 }
 
-// Response is a tool's answer.
+// Response is the response to a tool call.
 type Response struct {
 	Tool   string `json:"tool"`
 	Number int64  `json:"number"`
 }
 
-// Server is the stand-in as an http.Handler.
+// Server serves tool calls as an http.Handler.
 type Server struct {
 	mux   *http.ServeMux
 	calls atomic.Int64
 	hangs atomic.Bool
 }
 
-// New returns a Server.
+// New returns a Server that doesn't hang.
 func New() *Server {
 	server := &Server{mux: http.NewServeMux()}
-	server.mux.HandleFunc("POST "+CallPath, server.call)
+	server.mux.HandleFunc("POST "+CallPath, server.handleCall)
 	server.mux.HandleFunc("PUT "+HangPath, func(w http.ResponseWriter, r *http.Request) {
 		server.SetHang(r.URL.Query().Get("on") != "false")
 		w.WriteHeader(http.StatusNoContent)
@@ -47,16 +47,16 @@
 	return server
 }
 
-// SetHang makes every call hang until its caller gives up.
+// SetHang sets whether new calls hang until their client disconnects.
 func (s *Server) SetHang(on bool) { s.hangs.Store(on) }
 
-// Calls returns how many calls came.
+// Calls returns the number of calls received.
 func (s *Server) Calls() int64 { return s.calls.Load() }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
 	var request Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
