--- a/internal/standin/weightserver/weightserver.go
+++ b/internal/standin/weightserver/weightserver.go
@@ -1,5 +1,5 @@
-// Package weightserver is a stand-in for the platform's weight store: it serves model weights of a
-// stated size at a limited rate that all readers share.
+// Package weightserver emulates the platform's weight store. It serves model weights of a fixed size at a
+// limited rate shared by all clients.
 package weightserver
 
 import (
@@ -10,40 +10,40 @@
 )
 
 const (
-	// WeightsPath and a model's name is where its weights are.
+	// WeightsPath is the prefix of the path of a model's weights; the model's name follows.
 	WeightsPath = "/weights/"
 	chunkBytes  = 64 << 10
 	maxSize     = 1 << 30
 )
 
-// Server is the stand-in as an http.Handler.
+// Server serves weights as an http.Handler.
 type Server struct {
 	mux     *http.ServeMux
 	limiter *rate.Limiter
 	size    int64
 }
 
-// New returns a Server of models of size bytes, sharing bytesPerSecond.
+// New returns a Server whose models have the given size in bytes, at most maxSize.
 func New(size, bytesPerSecond int64) *Server {
 	server := &Server{mux: http.NewServeMux(), limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkBytes), size: min(size, maxSize)}
-	server.mux.HandleFunc("GET "+WeightsPath+"{model}", server.serve)
+	server.mux.HandleFunc("GET "+WeightsPath+"{model}", server.handleWeights)
 	return server
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleWeights(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Length", strconv.FormatInt(s.size, 10))
 	chunk := make([]byte, chunkBytes)
-	for left := s.size; left > 0; {
-		size := min(left, chunkBytes)
+	for remaining := s.size; remaining > 0; {
+		size := min(remaining, chunkBytes)
 		if s.limiter.WaitN(r.Context(), int(size)) != nil {
 			return
 		}
 		if _, err := w.Write(chunk[:size]); err != nil {
 			return
 		}
-		left -= size
+		remaining -= size
 	}
 }
