--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload generates agent programs as the first users run them, from a seed. The
-// distributions are documented in docs/EMULATOR.md.
+// Package workload generates agent programs from a seed. The distributions are documented in
+// docs/EMULATOR.md.
 package workload
 
 import (
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// Step is one model call of a program, then perhaps a pause for a tool and sub-agents.
+// Step is one model call of a program, optionally followed by a tool call and sub-agents.
 type Step struct {
-	// UserText is new input before the call; empty for a step that only goes on after a tool.
+	// UserText is new input before the call; empty for a step that continues after a tool call.
 	UserText string
-	// OutputTokens is how long the answer is.
+	// OutputTokens is the length of the answer.
 	OutputTokens int
-	// ToolPause follows the call.
+	// ToolPause is the duration of the tool call after the model call.
 	ToolPause time.Duration
-	// SubAgents run beside each other after the call, before the next step.
+	// SubAgents run concurrently after the call and before the next step.
 	SubAgents []Program
 }
 
-// Turn is what a person waits for: a chain of dependent steps.
+// Turn is a chain of dependent steps between two inputs of a user.
 type Turn struct {
 	Steps []Step
-	// ThinkTime is how long the person takes before the next turn.
+	// ThinkTime is the user's pause before the next turn.
 	ThinkTime time.Duration
 }
 
-// Program is one agent program. Its shape is fixed here, but nobody who schedules it sees it.
+// Program is one agent program. Its steps are fixed in advance, but the scheduler gets no information about them.
 type Program struct {
 	Name   string
 	Tenant string
 	Model  string
-	// System is the shared prompt that starts the history.
+	// System is the system prompt.
 	System string
-	// Start is when the program begins, from the start of the run.
+	// Start is the program's start time, relative to the start of the run.
 	Start time.Duration
 	Turns []Turn
-	// Abandoned tells that the caller vanishes after the last turn without ending the program.
+	// Abandoned is set if the caller doesn't end the program after the last turn.
 	Abandoned bool
 }
 
-// Calls counts the model calls of the program and its sub-agents.
+// Calls returns the number of model calls of the program and its sub-agents.
 func (p Program) Calls() int {
 	count := 0
 	for _, turn := range p.Turns {
@@ -57,22 +57,22 @@
 	return count
 }
 
-// Options shape a workload.
+// Options configure a workload.
 type Options struct {
 	Seed uint64
-	// Programs is how many start; Duration is the span in which they start.
+	// Programs is the number of programs; they start within Duration.
 	Programs int
 	Duration time.Duration
-	// TimeScale shortens pauses, so that a short run has the shape of a long one.
+	// TimeScale is a factor on all pauses, to fit the workload into a shorter run.
 	TimeScale float64
-	// UniformStarts spreads the starts evenly instead of in the day's peaks.
+	// UniformStarts draws start times from a uniform distribution instead of one with peaks.
 	UniformStarts bool
 }
 
-// charactersPerToken matches the emulator's tokenizer.
-const charactersPerToken = 4
+// bytesPerToken matches the emulator's token length.
+const bytesPerToken = 4
 
-// generator draws from one seed.
+// generator draws random values from one stream of a seed.
 type generator struct {
 	random  *rand.Rand
 	options Options
@@ -82,52 +82,52 @@
 	return &generator{random: rand.New(rand.NewPCG(options.Seed, stream)), options: options}
 }
 
-// logNormal draws with the given median and spread (the standard deviation of the logarithm).
-func (g *generator) logNormal(median, spread float64) float64 {
-	return median * math.Exp(g.random.NormFloat64()*spread)
+// logNormal draws from a log-normal distribution; sigma is the standard deviation of the logarithm.
+func (g *generator) logNormal(median, sigma float64) float64 {
+	return median * math.Exp(g.random.NormFloat64()*sigma)
 }
 
-// geometric draws 1 or more, with the given mean.
-func (g *generator) geometric(mean float64, most int) int {
+// geometric draws from a geometric distribution from 1, cut off at upper; mean is that before the cut.
+func (g *generator) geometric(mean float64, upper int) int {
 	count := 1
-	for count < most && g.random.Float64() > 1/mean {
+	for count < upper && g.random.Float64() > 1/mean {
 		count++
 	}
 	return count
 }
 
-func (g *generator) tokens(median, spread float64, least, most int) int {
-	return min(max(int(g.logNormal(median, spread)), least), most)
+func (g *generator) tokens(median, sigma float64, lower, upper int) int {
+	return min(max(int(g.logNormal(median, sigma)), lower), upper)
 }
 
-func (g *generator) pause(median time.Duration, spread float64) time.Duration {
-	return time.Duration(g.logNormal(float64(median)*g.options.TimeScale, spread))
+func (g *generator) pause(median time.Duration, sigma float64) time.Duration {
+	return time.Duration(g.logNormal(float64(median)*g.options.TimeScale, sigma))
 }
 
-// text makes random words of about so many tokens.
+// text returns random words with a length of the given number of tokens.
 func (g *generator) text(tokens int) string {
 	var builder strings.Builder
-	for builder.Len() < tokens*charactersPerToken {
+	for builder.Len() < tokens*bytesPerToken {
 		fmt.Fprintf(&builder, "w%06x ", g.random.IntN(1<<24))
 	}
-	return builder.String()[:tokens*charactersPerToken]
+	return builder.String()[:tokens*bytesPerToken]
 }
 
-// start draws a moment; two peaks make the after-school and the bedtime rush.
+// start draws a start time; peaked selects a distribution with two peaks over a uniform one.
 func (g *generator) start(peaked bool) time.Duration {
 	position := g.random.Float64()
 	if peaked && !g.options.UniformStarts && g.random.Float64() < 0.7 {
-		centre := 0.3
+		peak := 0.3
 		if g.random.Float64() < 0.5 {
-			centre = 0.7
+			peak = 0.7
 		}
-		position = math.Abs(math.Mod(centre+g.random.NormFloat64()*0.08+1, 1))
+		position = math.Abs(math.Mod(peak+g.random.NormFloat64()*0.08+1, 1))
 	}
 	return time.Duration(position * float64(g.options.Duration))
 }
 
-// TutorPrograms generates tutor programs: few short turns, each a chain of calls with tool checks and
-// sometimes a sub-agent that marks work.
+// TutorPrograms generates programs with few short turns, each a chain of calls with tool calls and
+// occasionally a sub-agent.
 func TutorPrograms(options Options) []Program {
 	shared := newGenerator(options, 1)
 	prompts := []string{shared.text(400), shared.text(350), shared.text(500)}
@@ -165,7 +165,7 @@
 	return turn
 }
 
-// subAgent is a short program below another one.
+// subAgent returns a short child program.
 func (g *generator) subAgent(parent Program, number int) Program {
 	child := Program{
 		Name:   fmt.Sprintf("%s/sub-%d-%d", parent.Name, number, g.random.IntN(1<<20)),
@@ -185,12 +185,12 @@
 	return child
 }
 
-// RecipePrograms generates recipe programs: long remembered conversations, and pantry planners that fan
-// out over what the market has on the day.
+// RecipePrograms generates long conversations with large system prompts. Some programs are planners: each of
+// their turns starts several sub-agents.
 func RecipePrograms(options Options) []Program {
 	shared := newGenerator(options, 2)
 	prompts := []string{shared.text(600), shared.text(800)}
-	market := 2 + shared.random.IntN(5)
+	maxSubAgents := 2 + shared.random.IntN(5)
 	programs := make([]Program, options.Programs)
 	for index := range programs {
 		g := newGenerator(options, 2000+uint64(index))
@@ -204,21 +204,21 @@
 		}
 		planner := g.random.Float64() < 0.3
 		for range g.geometric(5, 14) {
-			program.Turns = append(program.Turns, g.mealTurn(program, planner, market))
+			program.Turns = append(program.Turns, g.recipeTurn(program, planner, maxSubAgents))
 		}
 		programs[index] = program
 	}
 	return programs
 }
 
-func (g *generator) mealTurn(program Program, planner bool, market int) Turn {
+func (g *generator) recipeTurn(program Program, planner bool, maxSubAgents int) Turn {
 	step := Step{
 		UserText:     g.text(g.tokens(50, 0.6, 10, 400)),
 		OutputTokens: g.tokens(70, 0.5, 16, 220),
 		ToolPause:    g.pause(60*time.Millisecond, 0.6),
 	}
 	if planner {
-		for number := range 1 + g.random.IntN(market) {
+		for number := range 1 + g.random.IntN(maxSubAgents) {
 			step.SubAgents = append(step.SubAgents, g.subAgent(program, number+1))
 		}
 	}
