--- a/cmd/mountstile-lab/main.go
+++ b/cmd/mountstile-lab/main.go
@@ -93,7 +93,7 @@
 func (c *demoCommand) Execute([]string) error {
 	ctx, cancel := interruptible()
 	defer cancel()
-	return demo.Run(ctx, demo.Options{Folder: c.Folder, Programs: c.Programs, Seed: c.Seed, Output: os.Stdout, Stay: c.Stay, Logs: c.Logs})
+	return demo.Run(ctx, demo.Options{ExamplesDir: c.Folder, Programs: c.Programs, Seed: c.Seed, Output: os.Stdout, KeepRunning: c.Stay, NodeLogs: c.Logs})
 }
 
 // serving is what all stand-ins share.
--- a/cmd/mountstile-lab/models.go
+++ b/cmd/mountstile-lab/models.go
@@ -27,7 +27,7 @@
 	ctx, cancel := interruptible()
 	defer cancel()
 	report, err := modelbench.Run(ctx, modelbench.Options{
-		Engines: c.Engines, Slots: c.Slots, CallsPerSecond: c.Rate, FavouredShare: c.Favoured, Tokens: c.Tokens, Half: c.Half,
+		Engines: c.Engines, Slots: c.Slots, CallsPerSecond: c.Rate, FavouredShare: c.Favoured, Tokens: c.Tokens, PhaseDuration: c.Half,
 		LoadSeconds: c.Load, AtOnce: c.AtOnce, HoldSeconds: c.Hold, Seed: c.Seed,
 		Progress: func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) },
 	})
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -264,8 +264,8 @@
 	return ""
 }
 
-// APIs returns the callers' addresses of all nodes.
-func (c *Cluster) APIs() []string {
+// APIURLs returns the callers' addresses of all nodes.
+func (c *Cluster) APIURLs() []string {
 	var addresses []string
 	for _, running := range c.Nodes {
 		addresses = append(addresses, "http://"+running.Settings().API.Listen)
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -21,16 +21,16 @@
 
 // Options shape the demo.
 type Options struct {
-	// Folder holds the example configurations.
-	Folder string
+	// ExamplesDir holds the example configurations.
+	ExamplesDir string
 	// Programs of each user.
 	Programs int
 	Seed     uint64
 	Output   io.Writer
-	// Logs makes the nodes' logs go to standard error.
-	Logs bool
-	// Stay keeps the system up until the context ends.
-	Stay bool
+	// NodeLogs makes the nodes' logs go to standard error.
+	NodeLogs bool
+	// KeepRunning keeps the system up until the context ends.
+	KeepRunning bool
 }
 
 const (
@@ -61,12 +61,12 @@
 		Nodes:      3,
 		Zones:      []string{"zone-1", "zone-2", "zone-3"},
 		Region:     "region-1",
-		Files:      []string{options.Folder + "/brindleway.yaml", options.Folder + "/mapishi.yaml"},
+		Files:      []string{options.ExamplesDir + "/brindleway.yaml", options.ExamplesDir + "/mapishi.yaml"},
 		Engine:     emulator.DefaultConfig(),
 		Partitions: 12,
 		LogLevel:   logrus.InfoLevel,
 	}
-	if options.Logs {
+	if options.NodeLogs {
 		setup.LogOutput = os.Stderr
 	}
 	system, err := cluster.Start(startContext, setup)
@@ -77,7 +77,7 @@
 	if err := play(ctx, options, system); err != nil {
 		return err
 	}
-	if options.Stay {
+	if options.KeepRunning {
 		stay(ctx, output, system)
 	}
 	return nil
@@ -91,9 +91,9 @@
 	defer cancel()
 	started := time.Now()
 	results := runner.Run(runContext, runner.Options{
-		Nodes:    system.APIs(),
+		Nodes:    system.APIURLs(),
 		ToolsURL: system.ToolsURL,
-		Keys:     map[string]string{"brindleway": "brindleway.web." + cluster.DemoSecret, "mapishi": "mapishi.site." + cluster.DemoSecret},
+		APIKeys:  map[string]string{"brindleway": "brindleway.web." + cluster.DemoSecret, "mapishi": "mapishi.site." + cluster.DemoSecret},
 		Seed:     options.Seed,
 	}, programs)
 	printSummary(options.Output, results, system, time.Since(started))
@@ -111,9 +111,9 @@
 		result := results[tenant]
 		stats := system.CacheStats(enginePrefix[tenant])
 		fmt.Fprintf(output, "%s\n", tenant)
-		fmt.Fprintf(output, "  programs        %d done of %d; %d calls, %d tokens, %d refused and tried again\n", result.Completed, result.Programs, result.Calls, result.Tokens, result.Refused)
+		fmt.Fprintf(output, "  programs        %d done of %d; %d calls, %d tokens, %d refused and tried again\n", result.Completed, result.Programs, result.Calls, result.Tokens, result.Retries)
 		fmt.Fprintf(output, "  program latency p50 %s  p95 %s  p99 %s\n", quantile(result.ProgramLatency, 50), quantile(result.ProgramLatency, 95), quantile(result.ProgramLatency, 99))
-		fmt.Fprintf(output, "  first token     p50 %s  p95 %s\n", quantile(result.FirstToken, 50), quantile(result.FirstToken, 95))
+		fmt.Fprintf(output, "  first token     p50 %s  p95 %s\n", quantile(result.FirstTokenLatency, 50), quantile(result.FirstTokenLatency, 95))
 		hits := float64(stats.Hits) / float64(max(1, stats.Hits+stats.Misses))
 		fmt.Fprintf(output, "  engine cache    %.0f %% of prompt blocks found; %.0f %% of blocks made were never used again\n\n", 100*hits, 100*stats.WastedFraction())
 	}
@@ -126,7 +126,7 @@
 
 func stay(ctx context.Context, output io.Writer, system *cluster.Cluster) {
 	fmt.Fprintf(output, "\nthe system stays up; end it with Ctrl-C. Try:\n\n")
-	fmt.Fprintf(output, "curl -sS %s/v1/chat/completions -H 'Authorization: Bearer brindleway.web.%s' -H 'Content-Type: application/json' -d '{\"model\":\"tutor-small\",\"max_tokens\":12,\"messages\":[{\"role\":\"user\",\"content\":\"What is 7 times 8?\"}]}'\n\n", system.APIs()[0], cluster.DemoSecret)
+	fmt.Fprintf(output, "curl -sS %s/v1/chat/completions -H 'Authorization: Bearer brindleway.web.%s' -H 'Content-Type: application/json' -d '{\"model\":\"tutor-small\",\"max_tokens\":12,\"messages\":[{\"role\":\"user\",\"content\":\"What is 7 times 8?\"}]}'\n\n", system.APIURLs()[0], cluster.DemoSecret)
 	fmt.Fprintf(output, "go run ./cmd/mountstile status --endpoint http://%s --key %s\n", system.Nodes[0].Settings().Admin.Listen, cluster.AdminKey)
 	<-ctx.Done()
 }
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -95,7 +95,7 @@
 	e.model.Cancel(id)
 }
 
-func (e *simulatedEngine) strike(disturbance Disturbance) {
+func (e *simulatedEngine) strike(disturbance Fault) {
 	switch disturbance.Kind {
 	case Kill:
 		e.fail()
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -185,8 +185,8 @@
 	defer stop()
 	started := time.Now()
 	results := runner.Run(runContext, runner.Options{
-		Nodes: system.APIs(), ToolsURL: system.ToolsURL, Seed: file.Seed, Progress: &done,
-		Keys: map[string]string{file.Workload: file.Workload + "." + apiKeyID + "." + cluster.DemoSecret},
+		Nodes: system.APIURLs(), ToolsURL: system.ToolsURL, Seed: file.Seed, Progress: &done,
+		APIKeys: map[string]string{file.Workload: file.Workload + "." + apiKeyID + "." + cluster.DemoSecret},
 	}, programs)
 	return Sample{
 		Policy: policy.Name, Load: load, Repeat: repeat, Result: results[file.Workload],
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -35,41 +35,41 @@
 	// Seconds is the span in which programs start.
 	Seconds   float64 `yaml:"seconds"`
 	TimeScale float64 `yaml:"timeScale"`
-	// Disturbance, if set, strikes one engine after the other; only in virtual time.
-	Disturbance *Disturbance `yaml:"disturbance"`
+	// Fault, if set, strikes one engine after the other; only in virtual time.
+	Fault *Fault `yaml:"disturbance"`
 	// Virtual is what a run in virtual time does differently.
-	Virtual *VirtualScale `yaml:"virtual"`
+	Virtual *VirtualOverrides `yaml:"virtual"`
 	// Loads are offered load as shares of the engines' capacity; Capacity explains the measure.
 	Loads    []float64       `yaml:"loads"`
 	Engine   emulator.Config `yaml:"engine"`
 	Policies []PolicyEntry   `yaml:"policies"`
 }
 
-// DisturbanceKind is what happens to an engine.
-type DisturbanceKind string
+// FaultKind is what happens to an engine.
+type FaultKind string
 
 const (
 	// Kill loses the engine with its cache and all that runs on it.
-	Kill DisturbanceKind = "kill"
+	Kill FaultKind = "kill"
 	// Hang stops the engine; its connections stay open.
-	Hang DisturbanceKind = "hang"
+	Hang FaultKind = "hang"
 	// Slow multiplies the time of its steps by Factor.
-	Slow DisturbanceKind = "slow"
+	Slow FaultKind = "slow"
 )
 
-// Disturbance strikes an engine every EverySeconds, the next one each time, for LastsSeconds.
-type Disturbance struct {
-	Kind         DisturbanceKind `yaml:"kind"`
-	EverySeconds float64         `yaml:"everySeconds"`
-	LastsSeconds float64         `yaml:"lastsSeconds"`
-	Factor       float64         `yaml:"factor"`
+// Fault strikes an engine every IntervalSeconds, the next one each time, for DurationSeconds.
+type Fault struct {
+	Kind            FaultKind `yaml:"kind"`
+	IntervalSeconds float64   `yaml:"everySeconds"`
+	DurationSeconds float64   `yaml:"lastsSeconds"`
+	Factor          float64   `yaml:"factor"`
 }
 
-func (d Disturbance) check() string {
+func (d Fault) check() string {
 	switch {
 	case d.Kind != Kill && d.Kind != Hang && d.Kind != Slow:
 		return "disturbance.kind is kill, hang or slow"
-	case d.EverySeconds <= 0 || d.LastsSeconds <= 0:
+	case d.IntervalSeconds <= 0 || d.DurationSeconds <= 0:
 		return "disturbance.everySeconds and lastsSeconds must be above 0"
 	case d.Kind == Slow && d.Factor < 1:
 		return "disturbance.factor must be 1 or more"
@@ -77,8 +77,8 @@
 	return ""
 }
 
-// VirtualScale is the size of a run in virtual time, which costs no waiting; 0 keeps the file's.
-type VirtualScale struct {
+// VirtualOverrides is the size of a run in virtual time, which costs no waiting; 0 keeps the file's.
+type VirtualOverrides struct {
 	Repeats   int       `yaml:"repeats"`
 	Seconds   float64   `yaml:"seconds"`
 	TimeScale float64   `yaml:"timeScale"`
@@ -130,8 +130,8 @@
 	case len(file.Policies) == 0:
 		return file, &ErrFile{Path: path, Reason: "no policies"}
 	}
-	if file.Disturbance != nil {
-		if reason := file.Disturbance.check(); reason != "" {
+	if file.Fault != nil {
+		if reason := file.Fault.check(); reason != "" {
 			return file, &ErrFile{Path: path, Reason: reason}
 		}
 	}
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -26,7 +26,7 @@
 type PolicySummary struct {
 	ProgramLatency      Quantiles `json:"program_latency_ms"`
 	TurnLatency         Quantiles `json:"turn_latency_ms"`
-	FirstToken          Quantiles `json:"first_token_ms"`
+	FirstTokenLatency   Quantiles `json:"first_token_ms"`
 	WastedCacheFraction float64   `json:"wasted_cache_fraction"`
 	WastedLow           float64   `json:"wasted_cache_fraction_low"`
 	WastedHigh          float64   `json:"wasted_cache_fraction_high"`
@@ -36,7 +36,7 @@
 	Programs         int64   `json:"programs"`
 	Completed        int64   `json:"completed"`
 	Failed           int64   `json:"failed"`
-	Refused          int64   `json:"refused"`
+	Retries          int64   `json:"refused"`
 	// FairnessIndex is Jain's index over the programs' latencies per call: 1 if all are equal.
 	FairnessIndex float64 `json:"fairness_index"`
 }
@@ -92,7 +92,7 @@
 	for index, sample := range samples {
 		program.Merge(sample.Result.ProgramLatency)
 		turn.Merge(sample.Result.TurnLatency)
-		first.Merge(sample.Result.FirstToken)
+		first.Merge(sample.Result.FirstTokenLatency)
 		p95 := milliseconds(sample.Result.ProgramLatency, 95)
 		low, high = min(low, p95), max(high, p95)
 		wasted := sample.Cache.WastedFraction()
@@ -106,11 +106,11 @@
 		result.Programs += sample.Result.Programs
 		result.Completed += sample.Result.Completed
 		result.Failed += sample.Result.Failed
-		result.Refused += sample.Result.Refused
+		result.Retries += sample.Result.Retries
 	}
 	result.ProgramLatency = quantiles(program)
 	result.ProgramLatency.P95Low, result.ProgramLatency.P95High = low, high
-	result.TurnLatency, result.FirstToken = quantiles(turn), quantiles(first)
+	result.TurnLatency, result.FirstTokenLatency = quantiles(turn), quantiles(first)
 	result.WastedCacheFraction = cache.WastedFraction()
 	result.CacheHitFraction = float64(cache.Hits) / math.Max(1, float64(cache.Hits+cache.Misses))
 	result.GoodputPerSecond = float64(result.Completed) / seconds
@@ -169,9 +169,9 @@
 			fmt.Fprintf(&text, "| %s | %.0f | %.0f (%.0f to %.0f) | %s | %s | %.0f | %.3f (%.3f to %.3f) | %s | %s | %.2f | %d | %d | %d |\n",
 				policy.Name, row.ProgramLatency.P50, row.ProgramLatency.P95, row.ProgramLatency.P95Low, row.ProgramLatency.P95High,
 				ratio(row.ProgramLatency.P95, load.Policies["round-robin"].ProgramLatency.P95), ratio(row.ProgramLatency.P95, load.Policies["least-loaded"].ProgramLatency.P95),
-				row.FirstToken.P95, row.WastedCacheFraction, row.WastedLow, row.WastedHigh,
+				row.FirstTokenLatency.P95, row.WastedCacheFraction, row.WastedLow, row.WastedHigh,
 				ratio(row.WastedCacheFraction, load.Policies["round-robin"].WastedCacheFraction), ratio(row.WastedCacheFraction, load.Policies["least-loaded"].WastedCacheFraction),
-				row.GoodputPerSecond, row.Completed, row.Failed, row.Refused)
+				row.GoodputPerSecond, row.Completed, row.Failed, row.Retries)
 		}
 	}
 	return text.String()
--- a/internal/lab/experiment/virtual.go
+++ b/internal/lab/experiment/virtual.go
@@ -37,7 +37,7 @@
 	plenty = 1 << 40
 )
 
-// simulation is a runner.World in virtual time. It runs the product's program state, scheduler,
+// simulation is a runner.Environment in virtual time. It runs the product's program state, scheduler,
 // policies and owners' lines; the network is a fixed delay and engines are the emulator's model.
 type simulation struct {
 	clock   *clock.Virtual
@@ -71,7 +71,7 @@
 	started := world.clock.Now()
 	world.clock.Run(func() {
 		world.start()
-		sample.Result = runner.Play(ctx, world, nil, programs)[file.Workload]
+		sample.Result = runner.RunIn(ctx, world, nil, programs)[file.Workload]
 		sample.Seconds = world.clock.Now().Sub(started).Seconds()
 		world.ended = true
 	})
@@ -146,19 +146,19 @@
 			}
 		}
 	})
-	if s.file.Disturbance != nil {
-		s.clock.Go(func() { s.disturb(*s.file.Disturbance) })
+	if s.file.Fault != nil {
+		s.clock.Go(func() { s.disturb(*s.file.Fault) })
 	}
 }
 
 // disturb strikes one engine after the other, each for a while.
-func (s *simulation) disturb(disturbance Disturbance) {
+func (s *simulation) disturb(disturbance Fault) {
 	for number := 0; !s.ended; number++ {
-		s.clock.Sleep(seconds(disturbance.EverySeconds))
+		s.clock.Sleep(seconds(disturbance.IntervalSeconds))
 		victim := s.engines[s.order[number%len(s.order)]]
 		victim.strike(disturbance)
 		s.clock.Go(func() {
-			s.clock.Sleep(seconds(disturbance.LastsSeconds))
+			s.clock.Sleep(seconds(disturbance.DurationSeconds))
 			victim.recover()
 		})
 	}
@@ -175,25 +175,25 @@
 	return s.nodeFor(engine.Name).lines.Reserve(ctx, request)
 }
 
-// Now implements runner.World.
+// Now implements runner.Environment.
 func (s *simulation) Now() time.Time { return s.clock.Now() }
 
-// Pause implements runner.World.
+// Pause implements runner.Environment.
 func (s *simulation) Pause(_ context.Context, duration time.Duration) error {
 	s.clock.Sleep(duration)
 	return nil
 }
 
-// Parallel implements runner.World.
+// Parallel implements runner.Environment.
 func (s *simulation) Parallel(tasks ...func()) { s.clock.Parallel(tasks...) }
 
-// Tool implements runner.World.
+// Tool implements runner.Environment.
 func (s *simulation) Tool(_ context.Context, takes time.Duration) error {
 	s.clock.Sleep(takes)
 	return nil
 }
 
-// End implements runner.World: engines release what the ended program held.
+// End implements runner.Environment: engines release what the ended program held.
 func (s *simulation) End(_ context.Context, tenant, name string) error {
 	s.clock.Sleep(pathDelay)
 	s.machine.Execute(program.Command{At: s.clock.Now().UnixMilli(), End: &program.End{Program: program.Key{Tenant: tenant, Path: name}, Reason: program.EndByCaller}})
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// Chat implements runner.World.
+// Chat implements runner.Environment.
 func (s *simulation) Chat(ctx context.Context, tenant string, call runner.Call) (runner.Reply, error) {
 	started := s.clock.Now()
 	s.clock.Sleep(pathDelay)
@@ -217,12 +217,12 @@
 	}
 	return runner.Reply{
 		Content: turn.answer, CallID: turn.request.Admit.CallID, Engine: turn.engine,
-		FirstToken: turn.firstToken.Sub(started), Took: s.clock.Now().Sub(started),
+		FirstTokenLatency: turn.firstToken.Sub(started), Latency: s.clock.Now().Sub(started),
 	}, nil
 }
 
-func toFailure(failure *apierr.Error) *runner.Failure {
-	return &runner.Failure{
+func toFailure(failure *apierr.Error) *runner.ErrResponse {
+	return &runner.ErrResponse{
 		Status: failure.HTTPStatus(), Code: string(failure.Code), Outcome: string(failure.Outcome), Message: failure.Message,
 		RetryAfter: time.Duration(failure.RetryAfter) * time.Millisecond,
 	}
--- a/internal/lab/modelbench/modelbench.go
+++ b/internal/lab/modelbench/modelbench.go
@@ -31,8 +31,8 @@
 	CallsPerSecond float64
 	FavouredShare  float64
 	Tokens         int
-	// Half is how long each model is the favoured one.
-	Half time.Duration
+	// PhaseDuration is how long each model is the favoured one.
+	PhaseDuration time.Duration
 	// LoadSeconds is how long one engine alone takes to pull a model's weights.
 	LoadSeconds float64
 	AtOnce      int
@@ -41,8 +41,8 @@
 	Progress    func(format string, args ...any)
 }
 
-// Side is what callers saw of one way.
-type Side struct {
+// Result is what callers saw of one way.
+type Result struct {
 	Calls   int     `json:"calls"`
 	Refused int     `json:"refused"`
 	P50     float64 `json:"call_ms_p50"`
@@ -54,8 +54,8 @@
 
 // Report is the result.
 type Report struct {
-	Divided Side `json:"divided"`
-	Loading Side `json:"loading"`
+	Divided Result `json:"divided"`
+	Loading Result `json:"loading"`
 }
 
 const (
@@ -81,10 +81,10 @@
 	return report, err
 }
 
-func measure(ctx context.Context, options Options, loading bool) (Side, error) {
+func measure(ctx context.Context, options Options, loading bool) (Result, error) {
 	weights, err := serveWeights(options)
 	if err != nil {
-		return Side{}, err
+		return Result{}, err
 	}
 	defer func() { _ = weights.Close() }()
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
@@ -95,11 +95,11 @@
 	})
 	defer system.Stop()
 	if err != nil {
-		return Side{}, err
+		return Result{}, err
 	}
 	if loading {
 		if err := awaitModels(startContext, system); err != nil {
-			return Side{}, err
+			return Result{}, err
 		}
 	}
 	options.Progress("loading %v: %d engines ready", loading, options.Engines)
@@ -176,18 +176,18 @@
 }
 
 // play sends the calls of both halves, each at its moment whether earlier ones have ended or not.
-func play(ctx context.Context, options Options, system *cluster.Cluster) Side {
+func play(ctx context.Context, options Options, system *cluster.Cluster) Result {
 	random := rand.New(rand.NewPCG(options.Seed, 1))
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	histogram := hdrhistogram.New(1, highestMillis, digits)
-	var side Side
+	var side Result
 	var mutex sync.Mutex
 	var calls sync.WaitGroup
-	addresses := system.APIs()
+	addresses := system.APIURLs()
 	started := time.Now()
 	at := time.Duration(0)
-	for number := 0; at < 2*options.Half && ctx.Err() == nil; number++ {
+	for number := 0; at < 2*options.PhaseDuration && ctx.Err() == nil; number++ {
 		pauseUntil(ctx, started.Add(at))
 		call := options.call(random, at, number)
 		calls.Go(func() {
@@ -200,7 +200,7 @@
 				options.Progress("%s: %s", call.Model, err)
 				return
 			}
-			_ = histogram.RecordValue(reply.Took.Milliseconds())
+			_ = histogram.RecordValue(reply.Latency.Milliseconds())
 		})
 		at += time.Duration(random.ExpFloat64() / options.CallsPerSecond * float64(time.Second))
 	}
@@ -213,7 +213,7 @@
 
 func (o Options) call(random *rand.Rand, at time.Duration, number int) runner.Call {
 	favoured, other := firstModel, secondModel
-	if at >= o.Half {
+	if at >= o.PhaseDuration {
 		favoured, other = other, favoured
 	}
 	model := other
--- a/internal/lab/pathbench/pathbench.go
+++ b/internal/lab/pathbench/pathbench.go
@@ -25,10 +25,10 @@
 	P99 float64 `json:"p99"`
 }
 
-// Side is one way to the engine.
-type Side struct {
-	Call       Latency `json:"call_ms"`
-	FirstToken Latency `json:"first_token_ms"`
+// Result is one way to the engine.
+type Result struct {
+	Call              Latency `json:"call_ms"`
+	FirstTokenLatency Latency `json:"first_token_ms"`
 	// CallsPerSecond and CoreMicros are of many callers at once; the processor time is the whole
 	// process's, engine and callers included.
 	CallsPerSecond float64 `json:"calls_per_second"`
@@ -39,9 +39,9 @@
 
 // Report is the result.
 type Report struct {
-	Tokens int  `json:"tokens"`
-	Direct Side `json:"direct"`
-	Nodes  Side `json:"through_nodes"`
+	Tokens int    `json:"tokens"`
+	Direct Result `json:"direct"`
+	Nodes  Result `json:"through_nodes"`
 	// AddedFirstToken is the difference at p50 and p99; AddedCoreMicros that of processor time.
 	AddedFirstToken Latency `json:"added_first_token_ms"`
 	AddedCall       Latency `json:"added_call_ms"`
@@ -77,7 +77,7 @@
 	address []string
 	call    *hdrhistogram.Histogram
 	first   *hdrhistogram.Histogram
-	result  Side
+	result  Result
 }
 
 func newSide(addresses ...string) *side {
@@ -104,7 +104,7 @@
 		return Report{}, err
 	}
 	pool, _ := system.Nodes[0].Plane().Config.Current().Set.Pool("pool")
-	direct, nodes := newSide(pool.Engines[0].URL), newSide(system.APIs()...)
+	direct, nodes := newSide(pool.Engines[0].URL), newSide(system.APIURLs()...)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
 	// The first calls wait for the partitions' first leaders; they are not what is measured.
@@ -142,12 +142,12 @@
 				return err
 			}
 			// An hour is the most that the histogram holds.
-			_ = way.call.RecordValue(min(reply.Took.Microseconds(), highestMicros))
-			_ = way.first.RecordValue(min(reply.FirstToken.Microseconds(), highestMicros))
+			_ = way.call.RecordValue(min(reply.Latency.Microseconds(), highestMicros))
+			_ = way.first.RecordValue(min(reply.FirstTokenLatency.Microseconds(), highestMicros))
 		}
 	}
 	for _, way := range sides {
-		way.result.Call, way.result.FirstToken = latency(way.call), latency(way.first)
+		way.result.Call, way.result.FirstTokenLatency = latency(way.call), latency(way.first)
 	}
 	return nil
 }
@@ -237,7 +237,7 @@
 		Tokens:          options.Tokens,
 		Direct:          direct.result,
 		Nodes:           nodes.result,
-		AddedFirstToken: nodes.result.FirstToken.minus(direct.result.FirstToken),
+		AddedFirstToken: nodes.result.FirstTokenLatency.minus(direct.result.FirstTokenLatency),
 		AddedCall:       nodes.result.Call.minus(direct.result.Call),
 		AddedCoreMicros: nodes.result.CoreMicros - direct.result.CoreMicros,
 
--- a/internal/lab/runner/client.go
+++ b/internal/lab/runner/client.go
@@ -35,8 +35,8 @@
 	Stream    bool      `json:"stream"`
 }
 
-// Failure is an answer that is no success.
-type Failure struct {
+// ErrResponse is an answer that is no success.
+type ErrResponse struct {
 	Status     int
 	Code       string
 	Outcome    string
@@ -45,7 +45,7 @@
 }
 
 // Error implements error.
-func (f *Failure) Error() string {
+func (f *ErrResponse) Error() string {
 	return fmt.Sprintf("status %d: %s (%s): %s", f.Status, f.Code, f.Outcome, f.Message)
 }
 
@@ -71,16 +71,16 @@
 
 // Reply is what came back.
 type Reply struct {
-	Content    string
-	CallID     string
-	Engine     string
-	FirstToken time.Duration
-	Took       time.Duration
+	Content           string
+	CallID            string
+	Engine            string
+	FirstTokenLatency time.Duration
+	Latency           time.Duration
 }
 
 // Client sends calls with one tenant's key.
 type Client struct {
-	Key    string
+	APIKey string
 	client *http.Client
 }
 
@@ -92,13 +92,13 @@
 
 // NewClient returns a Client.
 func NewClient(key string) *Client {
-	return &Client{Key: key, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}}
+	return &Client{APIKey: key, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}}
 }
 
 // Close ends idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// Chat makes a streamed call to a node. Errors: *Failure, or what net/http says.
+// Chat makes a streamed call to a node. Errors: *ErrResponse, or what net/http says.
 func (c *Client) Chat(ctx context.Context, node string, call Call) (Reply, error) {
 	body, err := json.Marshal(chatBody{Model: call.Model, Messages: call.Messages, MaxTokens: call.Tokens, MinTokens: call.Tokens, Stream: true})
 	if err != nil {
@@ -121,14 +121,14 @@
 	}
 	reply := Reply{CallID: response.Header.Get(gateway.HeaderCall), Engine: response.Header.Get(gateway.HeaderEngine)}
 	err = readStream(response.Body, started, &reply)
-	reply.Took = time.Since(started)
+	reply.Latency = time.Since(started)
 	return reply, err
 }
 
 func (c *Client) setHeaders(request *http.Request, call Call) {
 	header := request.Header
 	header.Set("Content-Type", "application/json")
-	header.Set("Authorization", "Bearer "+c.Key)
+	header.Set("Authorization", "Bearer "+c.APIKey)
 	if call.Program != "" {
 		header.Set(gateway.HeaderProgram, call.Program)
 	}
@@ -148,7 +148,7 @@
 
 func readFailure(response *http.Response) error {
 	content, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	failure := &Failure{Status: response.StatusCode, Message: string(content)}
+	failure := &ErrResponse{Status: response.StatusCode, Message: string(content)}
 	var body failureBody
 	if json.Unmarshal(content, &body) == nil && body.Error.Code != "" {
 		failure.Code, failure.Outcome, failure.Message = body.Error.Code, body.Error.Outcome, body.Error.Message
@@ -172,7 +172,7 @@
 	} `json:"error"`
 }
 
-// ReadStream reads a streamed answer to its end and returns its text. Errors: *Failure if the
+// ReadStream reads a streamed answer to its end and returns its text. Errors: *ErrResponse if the
 // stream ends with one; io.ErrUnexpectedEOF if it is cut off.
 func ReadStream(body io.Reader) (string, error) {
 	var reply Reply
@@ -198,11 +198,11 @@
 			return errors.Wrap(err, "decoding an event")
 		}
 		if event.Error != nil {
-			return &Failure{Status: http.StatusOK, Code: event.Error.Code, Outcome: event.Error.Outcome, Message: event.Error.Message}
+			return &ErrResponse{Status: http.StatusOK, Code: event.Error.Code, Outcome: event.Error.Outcome, Message: event.Error.Message}
 		}
 		if len(event.Choices) > 0 && event.Choices[0].Delta.Content != "" {
 			if content.Len() == 0 {
-				reply.FirstToken = time.Since(started)
+				reply.FirstTokenLatency = time.Since(started)
 			}
 			content.WriteString(event.Choices[0].Delta.Content)
 		}
@@ -219,7 +219,7 @@
 	if err != nil {
 		return errors.Wrap(err, "building the request")
 	}
-	request.Header.Set("Authorization", "Bearer "+c.Key)
+	request.Header.Set("Authorization", "Bearer "+c.APIKey)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return err
--- a/internal/lab/runner/cluster.go
+++ b/internal/lab/runner/cluster.go
@@ -32,16 +32,16 @@
 	defer c.mutex.Unlock()
 	client := c.clients[tenant]
 	if client == nil {
-		client = NewClient(c.options.Keys[tenant])
+		client = NewClient(c.options.APIKeys[tenant])
 		c.clients[tenant] = client
 	}
 	return client, c.options.Nodes[c.random.IntN(len(c.options.Nodes))]
 }
 
-// Now implements World.
+// Now implements Environment.
 func (*cluster) Now() time.Time { return time.Now() }
 
-// Pause implements World.
+// Pause implements Environment.
 func (*cluster) Pause(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -53,7 +53,7 @@
 	}
 }
 
-// Parallel implements World.
+// Parallel implements Environment.
 func (*cluster) Parallel(tasks ...func()) {
 	var group sync.WaitGroup
 	for _, task := range tasks {
@@ -62,19 +62,19 @@
 	group.Wait()
 }
 
-// Chat implements World.
+// Chat implements Environment.
 func (c *cluster) Chat(ctx context.Context, tenant string, call Call) (Reply, error) {
 	client, node := c.reach(tenant)
 	return client.Chat(ctx, node, call)
 }
 
-// Tool implements World.
+// Tool implements Environment.
 func (c *cluster) Tool(ctx context.Context, takes time.Duration) error {
 	client, _ := c.reach("")
 	return client.Tool(ctx, c.options.ToolsURL, takes)
 }
 
-// End implements World.
+// End implements Environment.
 func (c *cluster) End(ctx context.Context, tenant, program string) error {
 	client, node := c.reach(tenant)
 	return client.End(ctx, node, program)
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -26,23 +26,23 @@
 	mutex sync.Mutex
 	// ProgramLatency is the sum of a program's turns, from first call to last answer, without the
 	// time that people think. TurnLatency and FirstToken are of single turns and calls.
-	ProgramLatency *hdrhistogram.Histogram
-	TurnLatency    *hdrhistogram.Histogram
-	FirstToken     *hdrhistogram.Histogram
+	ProgramLatency    *hdrhistogram.Histogram
+	TurnLatency       *hdrhistogram.Histogram
+	FirstTokenLatency *hdrhistogram.Histogram
 
 	Programs  int64
 	Completed int64
 	Failed    int64
 	Calls     int64
-	// Refused counts calls that were refused as not run, and tried again.
-	Refused int64
+	// Retries counts calls that were refused as not run, and tried again.
+	Retries int64
 	Tokens  int64
 	Errors  map[string]int64
 }
 
 func newResult() *Result {
 	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, highestMicros, significantDigits) }
-	return &Result{ProgramLatency: histogram(), TurnLatency: histogram(), FirstToken: histogram(), Errors: make(map[string]int64)}
+	return &Result{ProgramLatency: histogram(), TurnLatency: histogram(), FirstTokenLatency: histogram(), Errors: make(map[string]int64)}
 }
 
 func (r *Result) record(histogram *hdrhistogram.Histogram, value time.Duration) {
@@ -56,13 +56,13 @@
 	change()
 }
 
-// World is where programs are played: a cluster over its public interface, or a simulation.
-type World interface {
+// Environment is where programs are played: a cluster over its public interface, or a simulation.
+type Environment interface {
 	Now() time.Time
 	Pause(ctx context.Context, duration time.Duration) error
 	// Parallel runs tasks beside each other and returns when all have ended.
 	Parallel(tasks ...func())
-	// Chat makes one call for a tenant. Errors: *Failure, or what the way there says.
+	// Chat makes one call for a tenant. Errors: *ErrResponse, or what the way there says.
 	Chat(ctx context.Context, tenant string, call Call) (Reply, error)
 	// Tool calls a tool that takes so long.
 	Tool(ctx context.Context, takes time.Duration) error
@@ -75,9 +75,9 @@
 	// Nodes are the callers' addresses of the nodes; each call enters through any of them.
 	Nodes    []string
 	ToolsURL string
-	// Keys are the tenants' API keys.
-	Keys map[string]string
-	Seed uint64
+	// APIKeys are the tenants' API keys.
+	APIKeys map[string]string
+	Seed    uint64
 	// Progress, if set, counts programs done.
 	Progress *atomic.Int64
 }
@@ -86,12 +86,12 @@
 func Run(ctx context.Context, options Options, programs []workload.Program) map[string]*Result {
 	world := newCluster(options)
 	defer world.close()
-	return Play(ctx, world, options.Progress, programs)
+	return RunIn(ctx, world, options.Progress, programs)
 }
 
-// Play plays all programs at their times and returns what each tenant saw. Progress, if set, counts
+// RunIn plays all programs at their times and returns what each tenant saw. Progress, if set, counts
 // programs done.
-func Play(ctx context.Context, world World, progress *atomic.Int64, programs []workload.Program) map[string]*Result {
+func RunIn(ctx context.Context, world Environment, progress *atomic.Int64, programs []workload.Program) map[string]*Result {
 	results := make(map[string]*Result)
 	tasks := make([]func(), 0, len(programs))
 	for _, program := range programs {
@@ -114,7 +114,7 @@
 
 // player plays one program.
 type player struct {
-	world  World
+	world  Environment
 	result *Result
 }
 
@@ -137,7 +137,7 @@
 }
 
 func describe(err error) string {
-	var failure *Failure
+	var failure *ErrResponse
 	if errors.As(err, &failure) && failure.Code != "" {
 		return failure.Code + "/" + failure.Outcome
 	}
@@ -214,11 +214,11 @@
 	for try := 1; ; try++ {
 		reply, err := p.world.Chat(ctx, program.Tenant, request)
 		if err == nil {
-			reply.FirstToken += p.world.Now().Sub(started) - reply.Took
+			reply.FirstTokenLatency += p.world.Now().Sub(started) - reply.Latency
 			p.result.note(func() {
 				p.result.Calls++
 				p.result.Tokens += int64(tokens)
-				p.result.record(p.result.FirstToken, reply.FirstToken)
+				p.result.record(p.result.FirstTokenLatency, reply.FirstTokenLatency)
 			})
 			return reply, nil
 		}
@@ -226,7 +226,7 @@
 		if !again || try >= maxTries || ctx.Err() != nil {
 			return reply, err
 		}
-		p.result.note(func() { p.result.Refused++ })
+		p.result.note(func() { p.result.Retries++ })
 		if err := p.world.Pause(ctx, wait); err != nil {
 			return reply, err
 		}
@@ -235,7 +235,7 @@
 
 // retryWait tells whether to come back, and when.
 func retryWait(err error) (time.Duration, bool) {
-	var failure *Failure
+	var failure *ErrResponse
 	if !errors.As(err, &failure) {
 		return retryPause, true
 	}
--- a/internal/lab/statebench/statebench.go
+++ b/internal/lab/statebench/statebench.go
@@ -298,7 +298,7 @@
 		var total int64
 		for number := range calls {
 			before := sentBytes(system)
-			reply, err := client.Chat(ctx, system.APIs()[number%3], call)
+			reply, err := client.Chat(ctx, system.APIURLs()[number%3], call)
 			if err != nil {
 				return err
 			}
@@ -358,7 +358,7 @@
 	client := runner.NewClient(apiKey())
 	defer client.Close()
 	call := runner.Call{Program: fmt.Sprintf("failover-%d", number), Model: "m", Tokens: callTokens, DeltaHistory: true, Messages: []runner.Message{{Role: "user", Content: "x"}}}
-	if _, err := client.Chat(ctx, system.APIs()[0], call); err != nil {
+	if _, err := client.Chat(ctx, system.APIURLs()[0], call); err != nil {
 		return 0, err
 	}
 	id, err := locate(system, call.Program)
--- a/internal/lab/torture/caller.go
+++ b/internal/lab/torture/caller.go
@@ -62,7 +62,7 @@
 func (c *caller) node() string {
 	c.run.mutex.RLock()
 	defer c.run.mutex.RUnlock()
-	addresses := c.run.system.APIs()
+	addresses := c.run.system.APIURLs()
 	return addresses[c.random.IntN(len(addresses))]
 }
 
@@ -129,7 +129,7 @@
 }
 
 func (c *caller) noteOutcome(err error) {
-	var failure *runner.Failure
+	var failure *runner.ErrResponse
 	refused := errors.As(err, &failure) && failure.Outcome == string(apierr.NotRun)
 	c.count(func(report *Report) {
 		if refused {
--- a/test/lab/lab_test.go
+++ b/test/lab/lab_test.go
@@ -18,7 +18,7 @@
 func TestDemoFinishesItsPrograms(t *testing.T) {
 	t.Parallel()
 	var output strings.Builder
-	err := demo.Run(t.Context(), demo.Options{Folder: "../../examples", Programs: 4, Seed: 1, Output: &output})
+	err := demo.Run(t.Context(), demo.Options{ExamplesDir: "../../examples", Programs: 4, Seed: 1, Output: &output})
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(output.String(), "4 done of 4"), output.String())
 }
--- a/test/path/follow_test.go
+++ b/test/path/follow_test.go
@@ -28,7 +28,7 @@
 	request.IdempotencyKey, request.Tokens = "story", 300
 	var first sync.WaitGroup
 	first.Go(func() {
-		_, err := client.Chat(t.Context(), system.APIs()[1], request)
+		_, err := client.Chat(t.Context(), system.APIURLs()[1], request)
 		assert.Check(t, err != nil, "the caller of the gateway that is killed got an end")
 	})
 	var serving string
@@ -44,7 +44,7 @@
 	system.Engines[serving].SetFaults(emulator.Faults{Hang: true})
 
 	body := `{"model":"tutor","messages":[{"role":"user","content":"a long story"}],"max_tokens":300,"min_tokens":300,"stream":true}`
-	repeat, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIs()[2]+"/v1/chat/completions", strings.NewReader(body))
+	repeat, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIURLs()[2]+"/v1/chat/completions", strings.NewReader(body))
 	assert.NilError(t, err)
 	repeat.Header.Set("Authorization", "Bearer "+apiKey)
 	repeat.Header.Set(gateway.HeaderIdempotency, "story")
--- a/test/path/leave_test.go
+++ b/test/path/leave_test.go
@@ -48,7 +48,7 @@
 	var staying, gone sync.WaitGroup
 	send := func(ctx context.Context, number int, calls *sync.WaitGroup) {
 		calls.Go(func() {
-			_, err := client.Chat(ctx, system.APIs()[number%3], call("", 0, user(fmt.Sprintf("call %d", number))))
+			_, err := client.Chat(ctx, system.APIURLs()[number%3], call("", 0, user(fmt.Sprintf("call %d", number))))
 			assert.Check(t, err == nil || ctx.Err() != nil, "%v", err)
 		})
 	}
--- a/test/path/models_test.go
+++ b/test/path/models_test.go
@@ -128,7 +128,7 @@
 	for number := range callers {
 		running.tasks.Go(func() {
 			for count := 0; !running.stopped.Load(); count++ {
-				addresses := system.APIs()
+				addresses := system.APIURLs()
 				request := call("", 0, user(fmt.Sprintf("%s %d %d", model, number, count)))
 				request.Model, request.Tokens = model, 60
 				if _, err := client.Chat(t.Context(), addresses[(number+count)%len(addresses)], request); err != nil {
@@ -340,7 +340,7 @@
 	defer client.Close()
 	request := call("", 0, user("is anybody there?"))
 	request.Model = "large"
-	chat(t, client, system.APIs()[0], request)
+	chat(t, client, system.APIURLs()[0], request)
 	for _, model := range []string{"small", "large"} {
 		waitForModel(t, system, model, 1)
 	}
@@ -360,14 +360,14 @@
 	defer client.Close()
 	request := call("pupil", 1, user("which model?"))
 	request.Model, request.IdempotencyKey = "small", "key"
-	_, err := client.Chat(t.Context(), system.APIs()[0], request)
+	_, err := client.Chat(t.Context(), system.APIURLs()[0], request)
 	failure := failureOf(t, err)
 	assert.Equal(t, failure.Code, string(apierr.NoEngine))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
 	assert.Assert(t, failure.RetryAfter > 0)
 	serveWeights(t, weights.Listener.Addr().String())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, err := client.Chat(t.Context(), system.APIs()[0], request); err != nil {
+		if _, err := client.Chat(t.Context(), system.APIURLs()[0], request); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -64,7 +64,7 @@
 }
 
 func newOpenAI(system *cluster.Cluster, node int, key string) openai.Client {
-	return openai.NewClient(option.WithBaseURL(system.APIs()[node]+"/v1"), option.WithAPIKey(key))
+	return openai.NewClient(option.WithBaseURL(system.APIURLs()[node]+"/v1"), option.WithAPIKey(key))
 }
 
 func question(text string) openai.ChatCompletionNewParams {
@@ -129,7 +129,7 @@
 
 func post(t *testing.T, system *cluster.Cluster, path, body string, header map[string]string) (*http.Response, string) {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIs()[0]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIURLs()[0]+path, strings.NewReader(body))
 	assert.NilError(t, err)
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	for name, value := range header {
@@ -156,9 +156,9 @@
 	return reply
 }
 
-func failureOf(t *testing.T, err error) *runner.Failure {
+func failureOf(t *testing.T, err error) *runner.ErrResponse {
 	t.Helper()
-	var failure *runner.Failure
+	var failure *runner.ErrResponse
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	return failure
 }
@@ -169,7 +169,7 @@
 	system := start(t, 2)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	nodes := system.APIs()
+	nodes := system.APIURLs()
 	first := chat(t, client, nodes[0], call("p", 1, user("one")))
 	answer := runner.Message{Role: "assistant", Content: first.Content}
 	second := chat(t, client, nodes[1], call("p", 2, user("one"), answer, user("two")))
@@ -212,7 +212,7 @@
 		request := call("chain", sequence, user(fmt.Sprintf("call %d", sequence)))
 		request.DeltaHistory = true
 		tasks.Go(func() {
-			_, failures[sequence-1] = client.Chat(t.Context(), system.APIs()[sequence%3], request)
+			_, failures[sequence-1] = client.Chat(t.Context(), system.APIURLs()[sequence%3], request)
 		})
 	}
 	tasks.Wait()
@@ -229,7 +229,7 @@
 	system := start(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	_, err := client.Chat(t.Context(), system.APIs()[0], call("gap", 2, user("x")))
+	_, err := client.Chat(t.Context(), system.APIURLs()[0], call("gap", 2, user("x")))
 	failure := failureOf(t, err)
 	assert.Equal(t, failure.Code, string(apierr.SequenceGap))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
@@ -247,14 +247,14 @@
 	for agent := range 40 {
 		tasks.Go(func() {
 			request := call(fmt.Sprintf("feast/agent-%d", agent), 1, user(strings.Repeat("x", 1500)))
-			_, err := client.Chat(t.Context(), system.APIs()[agent%3], request)
+			_, err := client.Chat(t.Context(), system.APIURLs()[agent%3], request)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err == nil {
 				served++
 				return
 			}
-			var failure *runner.Failure
+			var failure *runner.ErrResponse
 			if errors.As(err, &failure) && failure.Code == string(apierr.BudgetExceeded) && failure.Outcome == string(apierr.NotRun) {
 				refused++
 			}
@@ -286,7 +286,7 @@
 			resumed := 0
 			for number := range 12 {
 				text := fmt.Sprintf("question %d", number)
-				reply := chat(t, client, system.APIs()[number%3], call("", 0, user(text)))
+				reply := chat(t, client, system.APIURLs()[number%3], call("", 0, user(text)))
 				expected := emulator.ExpectedAnswer([]json.RawMessage{json.RawMessage(fmt.Sprintf(`{"role":"user","content":%q}`, text))}, 20)
 				assert.Equal(t, reply.Content, expected)
 			}
@@ -342,10 +342,10 @@
 	defer client.Close()
 	engine := system.Engines["m1"]
 	engine.SetFaults(emulator.Faults{RefuseReleases: true})
-	chat(t, client, system.APIs()[0], call("meal", 1, user(strings.Repeat("tomatoes ", 200))))
+	chat(t, client, system.APIURLs()[0], call("meal", 1, user(strings.Repeat("tomatoes ", 200))))
 	assert.Assert(t, engine.Held("school:meal") > 0)
-	assert.NilError(t, client.End(t.Context(), system.APIs()[1], "meal"))
-	_, err := client.Chat(t.Context(), system.APIs()[2], call("meal", 2, user("more")))
+	assert.NilError(t, client.End(t.Context(), system.APIURLs()[1], "meal"))
+	_, err := client.Chat(t.Context(), system.APIURLs()[2], call("meal", 2, user("more")))
 	assert.Equal(t, failureOf(t, err).Code, string(apierr.ProgramEnded))
 	assert.Assert(t, engine.Held("school:meal") > 0)
 	engine.SetFaults(emulator.Faults{})
@@ -362,9 +362,9 @@
 	system := start(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	chat(t, client, system.APIs()[0], call("private", 1, user("secret")))
+	chat(t, client, system.APIURLs()[0], call("private", 1, user("secret")))
 	for _, path := range []string{"private", "school:private", "../school/private", "school%2Fprivate"} {
-		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, system.APIs()[0]+"/v1/programs/"+path+"?history=true", nil)
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, system.APIURLs()[0]+"/v1/programs/"+path+"?history=true", nil)
 		assert.NilError(t, err)
 		request.Header.Set("Authorization", "Bearer other.k."+secret)
 		response, err := http.DefaultClient.Do(request)
@@ -389,7 +389,7 @@
 	assert.NilError(t, system.Admin.WaitInForce(ctx, result.Revision))
 	before := len(system.Engines["m1"].Ledger())
 	for number := range 10 {
-		chat(t, client, system.APIs()[number%3], call("", 0, user(fmt.Sprintf("q%d", number))))
+		chat(t, client, system.APIURLs()[number%3], call("", 0, user(fmt.Sprintf("q%d", number))))
 	}
 	assert.Equal(t, len(system.Engines["m1"].Ledger()), before)
 	assert.Equal(t, len(system.Engines["m2"].Ledger()), 10)
@@ -413,7 +413,7 @@
 	hanging, release := context.WithCancel(t.Context())
 	var tasks sync.WaitGroup
 	for number := range 4 {
-		tasks.Go(func() { _, _ = client.Chat(hanging, system.APIs()[number%3], call("", 0, user("hang"))) })
+		tasks.Go(func() { _, _ = client.Chat(hanging, system.APIURLs()[number%3], call("", 0, user("hang"))) })
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if len(system.Engines["m1"].Ledger()) == 4 {
@@ -421,7 +421,7 @@
 		}
 		return poll.Continue("the engine is not full yet")
 	}, poll.WithTimeout(patience))
-	_, err = client.Chat(t.Context(), system.APIs()[0], call("", 0, user("late")))
+	_, err = client.Chat(t.Context(), system.APIURLs()[0], call("", 0, user("late")))
 	failure := failureOf(t, err)
 	assert.Equal(t, failure.Code, string(apierr.Overloaded))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
@@ -452,8 +452,8 @@
 	var tasks sync.WaitGroup
 	for number := range 12 {
 		tasks.Go(func() {
-			_, err := client.Chat(hanging, system.APIs()[number%3], call("", 0, user(fmt.Sprint(number))))
-			var failure *runner.Failure
+			_, err := client.Chat(hanging, system.APIURLs()[number%3], call("", 0, user(fmt.Sprint(number))))
+			var failure *runner.ErrResponse
 			if errors.As(err, &failure) && failure.Code == string(apierr.LimitExceeded) && failure.Outcome == string(apierr.NotRun) && failure.RetryAfter > 0 {
 				mutex.Lock()
 				refused++
@@ -476,7 +476,7 @@
 		engine.SetFaults(emulator.Faults{})
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, err := client.Chat(t.Context(), system.APIs()[0], call("", 0, user("after"))); err != nil {
+		if _, err := client.Chat(t.Context(), system.APIURLs()[0], call("", 0, user("after"))); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
--- a/test/path/repeat_test.go
+++ b/test/path/repeat_test.go
@@ -30,10 +30,10 @@
 	failures := make([]error, len(replies))
 	var tasks sync.WaitGroup
 	for index := range replies {
-		tasks.Go(func() { replies[index], failures[index] = client.Chat(t.Context(), system.APIs()[index%3], request) })
+		tasks.Go(func() { replies[index], failures[index] = client.Chat(t.Context(), system.APIURLs()[index%3], request) })
 	}
 	tasks.Wait()
-	late := chat(t, client, system.APIs()[1], request)
+	late := chat(t, client, system.APIURLs()[1], request)
 	for index := range replies {
 		assert.NilError(t, failures[index])
 		assert.Equal(t, replies[index].Content, late.Content)
@@ -41,7 +41,7 @@
 	assert.Equal(t, len(system.Engines["m1"].Ledger())+len(system.Engines["m2"].Ledger()), 1)
 	changed := request
 	changed.Messages = []runner.Message{user("another body")}
-	_, err := client.Chat(t.Context(), system.APIs()[0], changed)
+	_, err := client.Chat(t.Context(), system.APIURLs()[0], changed)
 	assert.Equal(t, failureOf(t, err).Code, string(apierr.IdempotencyConflict))
 }
 
@@ -87,7 +87,7 @@
 	var first runner.Reply
 	var failure error
 	var task sync.WaitGroup
-	task.Go(func() { first, failure = client.Chat(t.Context(), system.APIs()[0], request) })
+	task.Go(func() { first, failure = client.Chat(t.Context(), system.APIURLs()[0], request) })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if system.Engines["m1"].Stats().Tokens > 5 {
 			return poll.Success()
@@ -96,7 +96,7 @@
 	}, poll.WithTimeout(patience), poll.WithDelay(time.Millisecond))
 	system.Engines["m1"].SetFaults(emulator.Faults{Hang: true})
 	body := `{"model":"tutor","messages":[{"role":"user","content":"a long story"}],"max_tokens":300,"min_tokens":300,"stream":true}`
-	repeat, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIs()[1]+"/v1/chat/completions", strings.NewReader(body))
+	repeat, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIURLs()[1]+"/v1/chat/completions", strings.NewReader(body))
 	assert.NilError(t, err)
 	repeat.Header.Set("Authorization", "Bearer "+apiKey)
 	repeat.Header.Set(gateway.HeaderIdempotency, "story")
--- a/test/path/resume_test.go
+++ b/test/path/resume_test.go
@@ -305,7 +305,7 @@
 func (s scripted) askAt(t *testing.T, node int, model string, stream bool, maxTokens int) outcome {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"count"}],"max_tokens":%d,"stream":%t,"stream_options":{"include_usage":true}}`, model, maxTokens, stream)
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.APIs()[node]+"/v1/chat/completions", strings.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.APIURLs()[node]+"/v1/chat/completions", strings.NewReader(body))
 	assert.NilError(t, err)
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	request.Header.Set(gateway.HeaderProgram, model)
@@ -349,7 +349,7 @@
 
 func (s scripted) stored(t *testing.T, model string) programState {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, s.APIs()[1]+"/v1/programs/"+model+"?history=true", nil)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, s.APIURLs()[1]+"/v1/programs/"+model+"?history=true", nil)
 	assert.NilError(t, err)
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	response, err := http.DefaultClient.Do(request)
--- a/test/path/stall_test.go
+++ b/test/path/stall_test.go
@@ -40,7 +40,7 @@
 		request := call("", 0, user(fmt.Sprintf("question %d", number)))
 		request.Tokens = 100
 		go func() {
-			reply, err := client.Chat(t.Context(), system.APIs()[number%3], request)
+			reply, err := client.Chat(t.Context(), system.APIURLs()[number%3], request)
 			outcomes <- outcome{reply, err}
 		}()
 	}
