--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs a whole system in one process, over loopback: the store, engines, tools and
-// nodes. The demo, the experiments and many tests use it.
+// Package cluster runs a configuration store, emulated engines, a tool server and nodes in one
+// process, connected over loopback.
 package cluster
 
 import (
@@ -28,32 +28,33 @@
 )
 
 const (
-	loopbackAny  = "127.0.0.1:0"
-	pollInterval = 20 * time.Millisecond
-	// DemoSecret belongs to the hashed keys of the examples.
+	listenAddress = "127.0.0.1:0"
+	pollInterval  = 20 * time.Millisecond
+	// DemoSecret is the secret part of the API keys in the example configurations.
 	DemoSecret = "demo-only-secret"
-	// AdminKey is the platform administrator's key of an in-process cluster.
+	// AdminKey is the API key of the platform administrator.
 	AdminKey = "platform.lab." + DemoSecret
 )
 
-// Options shape a cluster.
+// Options configure a cluster.
 type Options struct {
-	// Nodes run in zones of these names in turn.
-	Nodes int
-	Zones []string
-	// Region of all nodes.
+	// Nodes is the number of nodes. They are assigned to Zones round-robin.
+	Nodes  int
+	Zones  []string
 	Region string
-	// Files are resource files; the engines in them are started and their addresses replaced.
+	// Files are resource files. Their engines are emulated, at addresses that replace those in the files.
 	Files []string
-	// Resources are added to those of the files.
-	Resources  []resource.Resource
+	// Resources are published in addition to those in Files.
+	Resources []resource.Resource
+	// Engine configures each emulated model engine.
 	Engine     emulator.Config
 	Partitions int
-	LogOutput  io.Writer
-	LogLevel   logrus.Level
+	// LogOutput receives the nodes' logs; nil discards them.
+	LogOutput io.Writer
+	LogLevel  logrus.Level
 }
 
-// Cluster is a running system.
+// Cluster is a system that runs in this process.
 type Cluster struct {
 	Store        *storeserver.Server
 	StoreURL     string
@@ -71,15 +72,16 @@
 	tasks     sync.WaitGroup
 }
 
-// ErrNotReady means that nodes did not become ready in time.
+// ErrNotReady reports nodes that were not ready before the context ended.
 type ErrNotReady struct{ Nodes []string }
 
 // Error implements error.
-func (e *ErrNotReady) Error() string { return "not ready in time: " + strings.Join(e.Nodes, ", ") }
+func (e *ErrNotReady) Error() string { return "nodes not ready: " + strings.Join(e.Nodes, ", ") }
 
-// Start brings a cluster up and publishes its resources. Stop it in any case.
+// Start starts a cluster, publishes its resources and waits until it is ready. The caller must call
+// Stop on the returned cluster even if there is an error.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
-	running, cancel := context.WithCancel(context.Background())
+	runContext, cancel := context.WithCancel(context.Background())
 	cluster := &Cluster{
 		Store:        storeserver.New(),
 		Tools:        toolserver.New(),
@@ -95,7 +97,7 @@
 	if cluster.ToolsURL, err = cluster.serve(cluster.Tools); err != nil {
 		return cluster, err
 	}
-	if err := cluster.startEngines(running); err != nil {
+	if err := cluster.startEngines(runContext); err != nil {
 		return cluster, err
 	}
 	for index := range options.Nodes {
@@ -107,19 +109,19 @@
 	return cluster, cluster.publish(ctx)
 }
 
-// serve runs an http.Handler on a free loopback port.
+// serve starts an HTTP server on a free loopback port and returns its URL.
 func (c *Cluster) serve(handler http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", loopbackAny)
+	listener, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return "", errors.Wrap(err, "listening")
 	}
-	server := &http.Server{Handler: handler, ErrorLog: discardLog()}
+	server := &http.Server{Handler: handler, ErrorLog: discardLogger()}
 	c.servers = append(c.servers, server)
 	c.tasks.Go(func() { _ = server.Serve(listener) })
 	return "http://" + listener.Addr().String(), nil
 }
 
-// startEngines reads the resources and runs each pool's engines.
+// startEngines loads the resources and starts an emulator for each engine of their pools.
 func (c *Cluster) startEngines(ctx context.Context) error {
 	resources := append([]resource.Resource(nil), c.options.Resources...)
 	for _, path := range c.options.Files {
@@ -170,11 +172,11 @@
 	return err
 }
 
-// AddNode starts one more node.
+// AddNode starts a node, with the running nodes as its seeds.
 func (c *Cluster) AddNode(name, zone string) (*node.Node, error) {
 	config := settings.Default()
 	config.Name, config.Zone, config.Region = name, zone, c.options.Region
-	config.Peer.Listen, config.API.Listen, config.Admin.Listen = loopbackAny, loopbackAny, loopbackAny
+	config.Peer.Listen, config.API.Listen, config.Admin.Listen = listenAddress, listenAddress, listenAddress
 	config.Store.Endpoint = c.StoreURL
 	config.TLS.Insecure = true
 	config.InitialNodes = c.options.Nodes
@@ -196,9 +198,9 @@
 	return created, nil
 }
 
-// publish applies the resources and waits until they are in force.
+// publish applies the resources and waits until all nodes use them.
 func (c *Cluster) publish(ctx context.Context) error {
-	if err := c.waitPlaced(ctx); err != nil {
+	if err := c.waitForPartitions(ctx); err != nil {
 		return err
 	}
 	if len(c.resources) == 0 {
@@ -218,38 +220,38 @@
 	return c.WaitReady(ctx)
 }
 
-// waitPlaced waits until the region has its partitions.
-func (c *Cluster) waitPlaced(ctx context.Context) error {
+// waitForPartitions waits until each node has a partition table.
+func (c *Cluster) waitForPartitions(ctx context.Context) error {
 	return c.wait(ctx, func(running *node.Node) bool { return running.Plane().Partitions.Ready() })
 }
 
-// WaitReady waits until all nodes serve callers.
+// WaitReady waits until all nodes report that they are ready to serve calls.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	return c.wait(ctx, (*node.Node).Ready)
 }
 
-func (c *Cluster) wait(ctx context.Context, done func(*node.Node) bool) error {
+func (c *Cluster) wait(ctx context.Context, condition func(*node.Node) bool) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		var waiting []string
+		var unready []string
 		for _, running := range c.Nodes {
-			if !done(running) {
-				waiting = append(waiting, running.Settings().Name)
+			if !condition(running) {
+				unready = append(unready, running.Settings().Name)
 			}
 		}
-		if len(waiting) == 0 {
+		if len(unready) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return &ErrNotReady{Nodes: waiting}
+			return &ErrNotReady{Nodes: unready}
 		case <-ticker.C:
 		}
 	}
 }
 
-// EngineURL returns the address of a model engine.
+// EngineURL returns the URL of an engine, or "" if there is no engine of that name.
 func (c *Cluster) EngineURL(name string) string {
 	for _, item := range c.resources {
 		if item.Pool == nil {
@@ -264,16 +266,16 @@
 	return ""
 }
 
-// APIURLs returns the callers' addresses of all nodes.
+// APIURLs returns the URLs of the nodes' public APIs.
 func (c *Cluster) APIURLs() []string {
-	var addresses []string
+	var urls []string
 	for _, running := range c.Nodes {
-		addresses = append(addresses, "http://"+running.Settings().API.Listen)
+		urls = append(urls, "http://"+running.Settings().API.Listen)
 	}
-	return addresses
+	return urls
 }
 
-// CacheStats sums the accounting of the engines whose names have the prefix.
+// CacheStats sums the cache statistics of the engines whose names start with prefix.
 func (c *Cluster) CacheStats(prefix string) emulator.CacheStats {
 	var total emulator.CacheStats
 	for name, engine := range c.Engines {
@@ -284,13 +286,13 @@
 	return total
 }
 
-// Stop ends everything at once.
+// Stop stops the nodes concurrently, then the servers and the engines.
 func (c *Cluster) Stop() {
-	var stops sync.WaitGroup
+	var group sync.WaitGroup
 	for _, running := range c.Nodes {
-		stops.Go(func() { _ = running.Stop() })
+		group.Go(func() { _ = running.Stop() })
 	}
-	stops.Wait()
+	group.Wait()
 	for _, server := range c.servers {
 		_ = server.Close()
 	}
@@ -298,7 +300,7 @@
 	c.tasks.Wait()
 }
 
-// Kill ends a node without any farewell, as a crash does.
+// Kill stops a node without a graceful shutdown, like a crash, and removes it from Nodes.
 func (c *Cluster) Kill(index int) error {
 	killed := c.Nodes[index]
 	c.Nodes = append(append([]*node.Node(nil), c.Nodes[:index]...), c.Nodes[index+1:]...)
--- a/internal/lab/cluster/log.go
+++ b/internal/lab/cluster/log.go
@@ -5,5 +5,5 @@
 	"log"
 )
 
-// discardLog keeps the stand-ins' aborted connections out of the output.
-func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
+// discardLogger suppresses net/http's messages about aborted connections.
+func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
