--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the main job on one machine: both users' example configurations, three nodes,
-// emulated engines, and a short workload.
+// Package demo runs a short workload on a cluster of three nodes and emulated engines in one
+// process, with the example configurations of two tenants.
 package demo
 
 import (
@@ -19,28 +19,28 @@
 	"github.com/mountstile/mountstile/internal/workload"
 )
 
-// Options shape the demo.
+// Options configure the demo.
 type Options struct {
-	// ExamplesDir holds the example configurations.
+	// ExamplesDir is the directory of the example configurations.
 	ExamplesDir string
-	// Programs of each user.
+	// Programs is the number of programs of each tenant.
 	Programs int
 	Seed     uint64
 	Output   io.Writer
-	// NodeLogs makes the nodes' logs go to standard error.
+	// NodeLogs writes the nodes' logs to standard error.
 	NodeLogs bool
-	// KeepRunning keeps the system up until the context ends.
+	// KeepRunning keeps the cluster running after the workload until the context ends.
 	KeepRunning bool
 }
 
 const (
 	startTimeout = 20 * time.Second
 	runTimeout   = 60 * time.Second
-	spread       = 4 * time.Second
-	timeScale    = 0.12
+	startWindow  = 4 * time.Second // programs start within it
+	timeScale    = 0.12            // multiplies the workload's pauses
 )
 
-// ErrProgramsFailed means that programs did not finish.
+// ErrProgramsFailed reports programs that did not finish, with the number of each error.
 type ErrProgramsFailed struct {
 	Count  int64
 	Errors map[string]int64
@@ -51,13 +51,13 @@
 	return fmt.Sprintf("%d programs failed: %v", e.Count, e.Errors)
 }
 
-// Run starts the system, plays the workload, and prints what its callers saw.
+// Run starts the cluster, runs the workload, and prints the latencies and cache statistics.
 func Run(ctx context.Context, options Options) error {
 	output := options.Output
 	fmt.Fprintln(output, "starting the store, 20 model engines, 18 application engines, tools and 3 nodes on loopback")
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	setup := cluster.Options{
+	clusterOptions := cluster.Options{
 		Nodes:      3,
 		Zones:      []string{"zone-1", "zone-2", "zone-3"},
 		Region:     "region-1",
@@ -67,25 +67,25 @@
 		LogLevel:   logrus.InfoLevel,
 	}
 	if options.NodeLogs {
-		setup.LogOutput = os.Stderr
+		clusterOptions.LogOutput = os.Stderr
 	}
-	system, err := cluster.Start(startContext, setup)
+	system, err := cluster.Start(startContext, clusterOptions)
 	defer system.Stop()
 	if err != nil {
 		return errors.Wrap(err, "starting the system")
 	}
-	if err := play(ctx, options, system); err != nil {
+	if err := runWorkload(ctx, options, system); err != nil {
 		return err
 	}
 	if options.KeepRunning {
-		stay(ctx, output, system)
+		waitForInterrupt(ctx, output, system)
 	}
 	return nil
 }
 
-func play(ctx context.Context, options Options, system *cluster.Cluster) error {
-	shape := workload.Options{Seed: options.Seed, Programs: options.Programs, Duration: spread, TimeScale: timeScale}
-	programs := append(workload.Brindleway(shape), workload.Mapishi(shape)...)
+func runWorkload(ctx context.Context, options Options, system *cluster.Cluster) error {
+	workloadOptions := workload.Options{Seed: options.Seed, Programs: options.Programs, Duration: startWindow, TimeScale: timeScale}
+	programs := append(workload.Brindleway(workloadOptions), workload.Mapishi(workloadOptions)...)
 	fmt.Fprintf(options.Output, "running %d programs, each call through any node\n\n", len(programs))
 	runContext, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func printSummary(output io.Writer, results map[string]*runner.Result, system *cluster.Cluster, took time.Duration) {
+func printSummary(output io.Writer, results map[string]*runner.Result, system *cluster.Cluster, elapsed time.Duration) {
 	enginePrefix := map[string]string{"brindleway": "tutor", "mapishi": "recipes"}
 	for _, tenant := range []string{"brindleway", "mapishi"} {
 		result := results[tenant]
@@ -117,14 +117,14 @@
 		hits := float64(stats.Hits) / float64(max(1, stats.Hits+stats.Misses))
 		fmt.Fprintf(output, "  engine cache    %.0f %% of prompt blocks found; %.0f %% of blocks made were never used again\n\n", 100*hits, 100*stats.WastedFraction())
 	}
-	fmt.Fprintf(output, "took %s\n", took.Round(time.Millisecond))
+	fmt.Fprintf(output, "took %s\n", elapsed.Round(time.Millisecond))
 }
 
 func quantile(histogram *hdrhistogram.Histogram, percent float64) time.Duration {
 	return (time.Duration(histogram.ValueAtQuantile(percent)) * time.Microsecond).Round(100 * time.Microsecond)
 }
 
-func stay(ctx context.Context, output io.Writer, system *cluster.Cluster) {
+func waitForInterrupt(ctx context.Context, output io.Writer, system *cluster.Cluster) {
 	fmt.Fprintf(output, "\nthe system stays up; end it with Ctrl-C. Try:\n\n")
 	fmt.Fprintf(output, "curl -sS %s/v1/chat/completions -H 'Authorization: Bearer brindleway.web.%s' -H 'Content-Type: application/json' -d '{\"model\":\"tutor-small\",\"max_tokens\":12,\"messages\":[{\"role\":\"user\",\"content\":\"What is 7 times 8?\"}]}'\n\n", system.APIURLs()[0], cluster.DemoSecret)
 	fmt.Fprintf(output, "go run ./cmd/mountstile status --endpoint http://%s --key %s\n", system.Nodes[0].Settings().Admin.Listen, cluster.AdminKey)
