--- a/internal/lab/runner/client.go
+++ b/internal/lab/runner/client.go
@@ -1,5 +1,5 @@
-// Package runner plays generated programs against a running cluster as their callers would, over
-// the public interface, and measures what the callers see.
+// Package runner runs generated programs as clients of a cluster or of a simulation, and measures
+// the latencies and errors that the clients observe.
 package runner
 
 import (
@@ -26,8 +26,9 @@
 	Content string `json:"content"`
 }
 
-// chatBody is a request for an answer of an exact length.
-type chatBody struct {
+// chatRequest is the body of a chat-completions request. MinTokens equal to MaxTokens fixes the
+// length of the answer.
+type chatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
 	MaxTokens int       `json:"max_tokens"`
@@ -35,7 +36,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-// ErrResponse is an answer that is no success.
+// ErrResponse is an error status, or an error event in a stream (with status 200).
 type ErrResponse struct {
 	Status     int
 	Code       string
@@ -45,11 +46,11 @@
 }
 
 // Error implements error.
-func (f *ErrResponse) Error() string {
-	return fmt.Sprintf("status %d: %s (%s): %s", f.Status, f.Code, f.Outcome, f.Message)
+func (e *ErrResponse) Error() string {
+	return fmt.Sprintf("status %d: %s (%s): %s", e.Status, e.Code, e.Outcome, e.Message)
 }
 
-type failureBody struct {
+type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
 		Outcome string `json:"outcome"`
@@ -57,7 +58,7 @@
 	} `json:"error"`
 }
 
-// Call is one model call.
+// Call is a call of a model.
 type Call struct {
 	Program        string
 	Sequence       int
@@ -69,7 +70,7 @@
 	Tokens         int
 }
 
-// Reply is what came back.
+// Reply is the answer to a call. The latencies count from the start of the request.
 type Reply struct {
 	Content           string
 	CallID            string
@@ -78,7 +79,7 @@
 	Latency           time.Duration
 }
 
-// Client sends calls with one tenant's key.
+// Client sends requests to nodes with an API key.
 type Client struct {
 	APIKey string
 	client *http.Client
@@ -90,21 +91,22 @@
 	maxErrorBytes   = 8 << 10
 )
 
-// NewClient returns a Client.
+// NewClient returns a client that authenticates with the given API key.
 func NewClient(key string) *Client {
 	return &Client{APIKey: key, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// Chat makes a streamed call to a node. Errors: *ErrResponse, or what net/http says.
-func (c *Client) Chat(ctx context.Context, node string, call Call) (Reply, error) {
-	body, err := json.Marshal(chatBody{Model: call.Model, Messages: call.Messages, MaxTokens: call.Tokens, MinTokens: call.Tokens, Stream: true})
+// Chat sends a streaming call to a node. The error is an *ErrResponse, io.ErrUnexpectedEOF if the
+// stream is truncated, or an error of net/http.
+func (c *Client) Chat(ctx context.Context, nodeURL string, call Call) (Reply, error) {
+	body, err := json.Marshal(chatRequest{Model: call.Model, Messages: call.Messages, MaxTokens: call.Tokens, MinTokens: call.Tokens, Stream: true})
 	if err != nil {
 		return Reply{}, errors.Wrap(err, "encoding the call")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, node+"/v1/chat/completions", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, nodeURL+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return Reply{}, errors.Wrap(err, "building the call")
 	}
@@ -117,7 +119,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return Reply{}, readFailure(response)
+		return Reply{}, readError(response)
 	}
 	reply := Reply{CallID: response.Header.Get(gateway.HeaderCall), Engine: response.Header.Get(gateway.HeaderEngine)}
 	err = readStream(response.Body, started, &reply)
@@ -146,17 +148,17 @@
 	}
 }
 
-func readFailure(response *http.Response) error {
+func readError(response *http.Response) error {
 	content, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	failure := &ErrResponse{Status: response.StatusCode, Message: string(content)}
-	var body failureBody
+	responseError := &ErrResponse{Status: response.StatusCode, Message: string(content)}
+	var body errorBody
 	if json.Unmarshal(content, &body) == nil && body.Error.Code != "" {
-		failure.Code, failure.Outcome, failure.Message = body.Error.Code, body.Error.Outcome, body.Error.Message
+		responseError.Code, responseError.Outcome, responseError.Message = body.Error.Code, body.Error.Outcome, body.Error.Message
 	}
 	if millis, err := strconv.ParseInt(response.Header.Get("Retry-After-Ms"), 10, 64); err == nil {
-		failure.RetryAfter = time.Duration(millis) * time.Millisecond
+		responseError.RetryAfter = time.Duration(millis) * time.Millisecond
 	}
-	return failure
+	return responseError
 }
 
 type streamEvent struct {
@@ -172,8 +174,8 @@
 	} `json:"error"`
 }
 
-// ReadStream reads a streamed answer to its end and returns its text. Errors: *ErrResponse if the
-// stream ends with one; io.ErrUnexpectedEOF if it is cut off.
+// ReadStream reads a streamed answer to its end and returns its text, also with an error: an
+// *ErrResponse for an error event, or io.ErrUnexpectedEOF if the stream is truncated.
 func ReadStream(body io.Reader) (string, error) {
 	var reply Reply
 	err := readStream(body, time.Now(), &reply)
@@ -213,9 +215,9 @@
 	return io.ErrUnexpectedEOF
 }
 
-// End ends a program.
-func (c *Client) End(ctx context.Context, node, program string) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, node+"/v1/programs/"+program, nil)
+// End asks a node to end a program.
+func (c *Client) End(ctx context.Context, nodeURL, program string) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, nodeURL+"/v1/programs/"+program, nil)
 	if err != nil {
 		return errors.Wrap(err, "building the request")
 	}
@@ -226,18 +228,18 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusNoContent {
-		return readFailure(response)
+		return readError(response)
 	}
 	return nil
 }
 
-// Tool calls a tool that takes so long.
-func (c *Client) Tool(ctx context.Context, tools string, delay time.Duration) error {
+// Tool calls a tool that answers after the delay.
+func (c *Client) Tool(ctx context.Context, toolsURL string, delay time.Duration) error {
 	body, err := json.Marshal(toolserver.Request{Tool: "check", DelayMillis: delay.Milliseconds()})
 	if err != nil {
 		return errors.Wrap(err, "encoding the tool call")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, tools+toolserver.CallPath, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, toolsURL+toolserver.CallPath, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "building the tool call")
 	}
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// The histograms hold microseconds up to an hour with three significant digits.
-	highestMicros     = int64(time.Hour / time.Microsecond)
+	// Histograms are in microseconds.
+	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
-	retryPause        = 50 * time.Millisecond
-	maxTries          = 40
+	retryDelay        = 50 * time.Millisecond
+	maxAttempts       = 40
 )
 
-// Result is what the callers of one tenant saw.
+// Result is what the clients of one tenant observed.
 type Result struct {
 	mutex sync.Mutex
-	// ProgramLatency is the sum of a program's turns, from first call to last answer, without the
-	// time that people think. TurnLatency and FirstToken are of single turns and calls.
+	// ProgramLatency is the sum of the latencies of a program's turns, without the think time between
+	// them. TurnLatency is recorded for each turn. FirstTokenLatency is recorded for each call and
+	// includes its failed attempts.
 	ProgramLatency    *hdrhistogram.Histogram
 	TurnLatency       *hdrhistogram.Histogram
 	FirstTokenLatency *hdrhistogram.Histogram
@@ -34,101 +35,102 @@
 	Completed int64
 	Failed    int64
 	Calls     int64
-	// Retries counts calls that were refused as not run, and tried again.
+	// Retries counts attempts that failed and were retried.
 	Retries int64
 	Tokens  int64
 	Errors  map[string]int64
 }
 
 func newResult() *Result {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, highestMicros, significantDigits) }
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, significantDigits) }
 	return &Result{ProgramLatency: histogram(), TurnLatency: histogram(), FirstTokenLatency: histogram(), Errors: make(map[string]int64)}
 }
 
 func (r *Result) record(histogram *hdrhistogram.Histogram, value time.Duration) {
-	// A value over an hour counts as an hour.
-	_ = histogram.RecordValue(min(max(1, value.Microseconds()), highestMicros))
+	// A value within the histogram's range can't fail.
+	_ = histogram.RecordValue(min(max(1, value.Microseconds()), maxLatencyMicros))
 }
 
-func (r *Result) note(change func()) {
+func (r *Result) update(change func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change()
 }
 
-// Environment is where programs are played: a cluster over its public interface, or a simulation.
+// Environment is what programs run in: a cluster over its public API, or a simulation. It provides
+// the clock and the concurrency, so that a simulation can run in virtual time.
 type Environment interface {
 	Now() time.Time
 	Pause(ctx context.Context, duration time.Duration) error
-	// Parallel runs tasks beside each other and returns when all have ended.
+	// Parallel runs tasks concurrently and returns when all are done.
 	Parallel(tasks ...func())
-	// Chat makes one call for a tenant. Errors: *ErrResponse, or what the way there says.
+	// Chat makes a call for a tenant. The error is an *ErrResponse or a transport error.
 	Chat(ctx context.Context, tenant string, call Call) (Reply, error)
-	// Tool calls a tool that takes so long.
-	Tool(ctx context.Context, takes time.Duration) error
-	// End ends a program.
+	// Tool calls a tool that answers after the delay.
+	Tool(ctx context.Context, delay time.Duration) error
+	// End ends a tenant's program.
 	End(ctx context.Context, tenant, program string) error
 }
 
-// Options say where and how to play.
+// Options configure a run against a cluster.
 type Options struct {
-	// Nodes are the callers' addresses of the nodes; each call enters through any of them.
+	// Nodes are the nodes' public APIs. Each request goes to a random one.
 	Nodes    []string
 	ToolsURL string
-	// APIKeys are the tenants' API keys.
+	// APIKeys are the API keys by tenant.
 	APIKeys map[string]string
 	Seed    uint64
-	// Progress, if set, counts programs done.
+	// Progress, if set, counts the programs that are done.
 	Progress *atomic.Int64
 }
 
-// Run plays all programs at their times against a cluster and returns what each tenant saw.
+// Run runs each program from its start time against a cluster and returns the results by tenant.
 func Run(ctx context.Context, options Options, programs []workload.Program) map[string]*Result {
-	world := newCluster(options)
-	defer world.close()
-	return RunIn(ctx, world, options.Progress, programs)
+	environment := newHTTPEnvironment(options)
+	defer environment.close()
+	return RunIn(ctx, environment, options.Progress, programs)
 }
 
-// RunIn plays all programs at their times and returns what each tenant saw. Progress, if set, counts
-// programs done.
-func RunIn(ctx context.Context, world Environment, progress *atomic.Int64, programs []workload.Program) map[string]*Result {
+// RunIn runs each program from its start time and returns the results by tenant. Progress, if set,
+// counts the programs that are done.
+func RunIn(ctx context.Context, environment Environment, progress *atomic.Int64, programs []workload.Program) map[string]*Result {
 	results := make(map[string]*Result)
 	tasks := make([]func(), 0, len(programs))
 	for _, program := range programs {
 		if results[program.Tenant] == nil {
 			results[program.Tenant] = newResult()
 		}
-		play := &player{world: world, result: results[program.Tenant]}
+		runner := &programRunner{environment: environment, result: results[program.Tenant]}
 		tasks = append(tasks, func() {
-			if world.Pause(ctx, program.Start) == nil {
-				play.program(ctx, program)
+			if environment.Pause(ctx, program.Start) == nil {
+				runner.program(ctx, program)
 			}
 			if progress != nil {
 				progress.Add(1)
 			}
 		})
 	}
-	world.Parallel(tasks...)
+	environment.Parallel(tasks...)
 	return results
 }
 
-// player plays one program.
-type player struct {
-	world  Environment
-	result *Result
+// programRunner runs one program and its sub-agents.
+type programRunner struct {
+	environment Environment
+	result      *Result
 }
 
-// program plays a top-level program and records its latency.
-func (p *player) program(ctx context.Context, program workload.Program) {
-	p.result.note(func() { p.result.Programs++ })
-	latency, err := p.play(ctx, program, true)
+// program runs a top-level program and records its outcome.
+func (p *programRunner) program(ctx context.Context, program workload.Program) {
+	p.result.update(func() { p.result.Programs++ })
+	latency, err := p.runTurns(ctx, program, true)
 	if err == nil && !program.Dies {
-		err = p.world.End(ctx, program.Tenant, program.Name)
+		err = p.environment.End(ctx, program.Tenant, program.Name)
 	}
-	p.result.note(func() {
+	p.result.update(func() {
 		if err != nil {
 			p.result.Failed++
-			p.result.Errors[describe(err)]++
+			p.result.Errors[errorLabel(err)]++
 			return
 		}
 		p.result.Completed++
@@ -136,7 +138,8 @@
 	})
 }
 
-func describe(err error) string {
+// errorLabel is the key of an error in Result.Errors.
+func errorLabel(err error) string {
 	var failure *ErrResponse
 	if errors.As(err, &failure) && failure.Code != "" {
 		return failure.Code + "/" + failure.Outcome
@@ -144,13 +147,13 @@
 	return err.Error()
 }
 
-// play runs a program's turns one after the other; it returns the time without thinking.
-func (p *player) play(ctx context.Context, program workload.Program, top bool) (time.Duration, error) {
+// runTurns runs a program's turns in sequence and returns their total latency without think time.
+func (p *programRunner) runTurns(ctx context.Context, program workload.Program, topLevel bool) (time.Duration, error) {
 	conversation := []Message{{Role: "system", Content: program.System}}
 	sequence := 0
 	var total time.Duration
 	for _, turn := range program.Turns {
-		started := p.world.Now()
+		started := p.environment.Now()
 		for _, step := range turn.Steps {
 			sequence++
 			content := step.UserText
@@ -167,31 +170,31 @@
 				return total, err
 			}
 		}
-		took := p.world.Now().Sub(started)
-		total += took
-		if top {
-			p.result.note(func() { p.result.record(p.result.TurnLatency, took) })
+		elapsed := p.environment.Now().Sub(started)
+		total += elapsed
+		if topLevel {
+			p.result.update(func() { p.result.record(p.result.TurnLatency, elapsed) })
 		}
-		if err := p.world.Pause(ctx, turn.ThinkTime); err != nil {
+		if err := p.environment.Pause(ctx, turn.ThinkTime); err != nil {
 			return total, err
 		}
 	}
 	return total, nil
 }
 
-// afterCall calls the tool and runs the sub-agents beside each other.
-func (p *player) afterCall(ctx context.Context, step workload.Step) error {
+// afterCall calls the step's tool, then runs its sub-agents concurrently.
+func (p *programRunner) afterCall(ctx context.Context, step workload.Step) error {
 	if step.ToolPause > 0 {
-		if err := p.world.Tool(ctx, step.ToolPause); err != nil {
+		if err := p.environment.Tool(ctx, step.ToolPause); err != nil {
 			return err
 		}
 	}
 	failures := make([]error, len(step.SubAgents))
 	tasks := make([]func(), 0, len(step.SubAgents))
 	for index, child := range step.SubAgents {
-		tasks = append(tasks, func() { _, failures[index] = p.play(ctx, child, false) })
+		tasks = append(tasks, func() { _, failures[index] = p.runTurns(ctx, child, false) })
 	}
-	p.world.Parallel(tasks...)
+	p.environment.Parallel(tasks...)
 	for _, failure := range failures {
 		if failure != nil {
 			return failure
@@ -200,8 +203,8 @@
 	return nil
 }
 
-// call makes one call, and repeats it with the same key when that is safe.
-func (p *player) call(ctx context.Context, program workload.Program, sequence int, conversation []Message, tokens int) (Reply, error) {
+// call makes a call, and retries it with the same idempotency key.
+func (p *programRunner) call(ctx context.Context, program workload.Program, sequence int, conversation []Message, tokens int) (Reply, error) {
 	request := Call{
 		Program:        program.Name,
 		Sequence:       sequence,
@@ -210,40 +213,40 @@
 		Messages:       conversation,
 		Tokens:         tokens,
 	}
-	started := p.world.Now()
-	for try := 1; ; try++ {
-		reply, err := p.world.Chat(ctx, program.Tenant, request)
+	started := p.environment.Now()
+	for attempt := 1; ; attempt++ {
+		reply, err := p.environment.Chat(ctx, program.Tenant, request)
 		if err == nil {
-			reply.FirstTokenLatency += p.world.Now().Sub(started) - reply.Latency
-			p.result.note(func() {
+			reply.FirstTokenLatency += p.environment.Now().Sub(started) - reply.Latency
+			p.result.update(func() {
 				p.result.Calls++
 				p.result.Tokens += int64(tokens)
 				p.result.record(p.result.FirstTokenLatency, reply.FirstTokenLatency)
 			})
 			return reply, nil
 		}
-		wait, again := retryWait(err)
-		if !again || try >= maxTries || ctx.Err() != nil {
+		delay, retry := retryAfter(err)
+		if !retry || attempt >= maxAttempts || ctx.Err() != nil {
 			return reply, err
 		}
-		p.result.note(func() { p.result.Retries++ })
-		if err := p.world.Pause(ctx, wait); err != nil {
+		p.result.update(func() { p.result.Retries++ })
+		if err := p.environment.Pause(ctx, delay); err != nil {
 			return reply, err
 		}
 	}
 }
 
-// retryWait tells whether to come back, and when.
-func retryWait(err error) (time.Duration, bool) {
+// retryAfter reports whether a failed call should be retried, and after which delay.
+func retryAfter(err error) (time.Duration, bool) {
 	var failure *ErrResponse
 	if !errors.As(err, &failure) {
-		return retryPause, true
+		return retryDelay, true
 	}
 	switch {
 	case failure.RetryAfter > 0:
 		return failure.RetryAfter, true
 	case failure.Outcome == "outcome_unknown":
-		return retryPause, true
+		return retryDelay, true
 	}
 	return 0, false
 }
