--- a/internal/lab/torture/caller.go
+++ b/internal/lab/torture/caller.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	callTimeout   = 25 * time.Second
-	turnsMost     = 8
-	triesMost     = 60
-	markTimeout   = 15 * time.Second
-	triesPause    = 100 * time.Millisecond
-	endTries      = 20
-	betweenCalls  = 20 * time.Millisecond
-	chanceOfMarks = 3
+	callTimeout     = 25 * time.Second
+	maxTurns        = 8
+	maxAttempts     = 60
+	markTimeout     = 15 * time.Second
+	retryDelay      = 100 * time.Millisecond
+	maxEndAttempts  = 20
+	programInterval = 20 * time.Millisecond
+	turnsPerMark    = 3 // on average
 )
 
-// caller plays programs one after the other, each call through any node.
+// caller runs programs in sequence. Each request goes to a random node.
 type caller struct {
 	run      *run
 	number   int
@@ -39,99 +39,99 @@
 	programs int
 }
 
-func newCaller(state *run, number int) *caller {
+func newCaller(r *run, number int) *caller {
 	return &caller{
-		run:    state,
+		run:    r,
 		number: number,
-		random: rand.New(rand.NewPCG(state.options.Seed, uint64(100+number))),
+		random: rand.New(rand.NewPCG(r.options.Seed, uint64(100+number))),
 		client: runner.NewClient(apiKey),
 		http:   &http.Client{Timeout: markTimeout},
 	}
 }
 
-// play goes on until the run stops; the program under way is brought to its end.
-func (c *caller) play(ctx context.Context) {
+// execute runs programs until the run stops, and finishes the last one.
+func (c *caller) execute(ctx context.Context) {
 	defer c.client.Close()
 	for !c.run.stopped.Load() && ctx.Err() == nil {
-		c.program(ctx)
-		c.run.pause(ctx, betweenCalls)
+		c.runProgram(ctx)
+		c.run.sleep(ctx, programInterval)
 	}
 }
 
-// node draws one of the nodes that run.
-func (c *caller) node() string {
+// pickNode returns the URL of a random live node.
+func (c *caller) pickNode() string {
 	c.run.mutex.RLock()
 	defer c.run.mutex.RUnlock()
 	addresses := c.run.system.APIURLs()
 	return addresses[c.random.IntN(len(addresses))]
 }
 
-// program holds one conversation and checks each answer against what its history must give.
-func (c *caller) program(ctx context.Context) {
+// runProgram runs one conversation and compares each answer with the one that its history determines.
+func (c *caller) runProgram(ctx context.Context) {
 	c.programs++
 	name := fmt.Sprintf("c%d-p%d", c.number, c.programs)
-	c.count(func(report *Report) { report.Programs++ })
+	c.updateReport(func(report *Report) { report.Programs++ })
 	var messages []runner.Message
-	for turn := range 1 + c.random.IntN(turnsMost) {
+	for turn := range 1 + c.random.IntN(maxTurns) {
 		messages = append(messages, runner.Message{Role: "user", Content: fmt.Sprintf("%s asks %d", name, turn+1)})
-		reply, err := c.call(ctx, name, turn+1, messages)
+		reply, err := c.callWithRetry(ctx, name, turn+1, messages)
 		if err != nil {
-			c.run.violate(&c.run.report.Violations.Lost, "%s, call %d: %s", name, turn+1, err)
+			c.run.recordViolation(&c.run.report.Violations.Lost, "%s, call %d: %s", name, turn+1, err)
 			return
 		}
 		if expected := expectedAnswer(messages); reply.Content != expected {
-			c.run.violate(&c.run.report.Violations.Mixed, "%s, call %d: got %q instead of %q", name, turn+1, reply.Content, expected)
+			c.run.recordViolation(&c.run.report.Violations.Mixed, "%s, call %d: got %q instead of %q", name, turn+1, reply.Content, expected)
 		}
 		messages = append(messages, runner.Message{Role: "assistant", Content: reply.Content})
-		if c.random.IntN(chanceOfMarks) == 0 {
-			c.mark(ctx, fmt.Sprintf("%s-%d", name, turn+1))
+		if c.random.IntN(turnsPerMark) == 0 {
+			c.sendMark(ctx, fmt.Sprintf("%s-%d", name, turn+1))
 		}
 	}
-	c.end(ctx, name)
+	c.endProgram(ctx, name)
 }
 
 func expectedAnswer(messages []runner.Message) string {
 	encoded := make([]json.RawMessage, 0, len(messages))
 	for _, message := range messages {
-		// Two strings always encode.
+		// A struct of strings can't fail to encode.
 		text, _ := json.Marshal(message)
 		encoded = append(encoded, text)
 	}
 	return emulator.ExpectedAnswer(encoded, answerTokens)
 }
 
-func (c *caller) count(change func(*Report)) {
+func (c *caller) updateReport(change func(*Report)) {
 	c.run.mutex.Lock()
 	defer c.run.mutex.Unlock()
 	change(&c.run.report)
 }
 
-// call repeats a call with its key until it has an answer.
-func (c *caller) call(ctx context.Context, program string, sequence int, messages []runner.Message) (runner.Reply, error) {
+// callWithRetry retries a call with the same idempotency key until it succeeds.
+func (c *caller) callWithRetry(ctx context.Context, program string, sequence int, messages []runner.Message) (runner.Reply, error) {
 	request := runner.Call{
 		Program: program, Sequence: sequence, IdempotencyKey: fmt.Sprintf("%s-%d", program, sequence),
 		Model: "m", Messages: messages, Tokens: answerTokens,
 	}
-	var last error
-	for range triesMost {
+	var lastErr error
+	for range maxAttempts {
 		callContext, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := c.client.Chat(callContext, c.node(), request)
+		reply, err := c.client.Chat(callContext, c.pickNode(), request)
 		cancel()
 		if err == nil {
-			c.count(func(report *Report) { report.Calls++ })
+			c.updateReport(func(report *Report) { report.Calls++ })
 			return reply, nil
 		}
-		last = err
-		c.noteOutcome(err)
-		c.run.pause(ctx, triesPause)
+		lastErr = err
+		c.countFailure(err)
+		c.run.sleep(ctx, retryDelay)
 	}
-	return runner.Reply{}, last
+	return runner.Reply{}, lastErr
 }
 
-func (c *caller) noteOutcome(err error) {
+func (c *caller) countFailure(err error) {
 	var failure *runner.ErrResponse
 	refused := errors.As(err, &failure) && failure.Outcome == string(apierr.NotRun)
-	c.count(func(report *Report) {
+	c.updateReport(func(report *Report) {
 		if refused {
 			report.Refused++
 		} else {
@@ -140,9 +140,9 @@
 	})
 }
 
-// mark sends a call that must not run twice, once, and notes what it was told.
-func (c *caller) mark(ctx context.Context, body string) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.node()+"/apps/book/marks", strings.NewReader(body))
+// sendMark sends a non-idempotent application call, without retries, and records the reported outcome.
+func (c *caller) sendMark(ctx context.Context, body string) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.pickNode()+"/apps/book/marks", strings.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -158,19 +158,19 @@
 	c.run.mutex.Lock()
 	defer c.run.mutex.Unlock()
 	c.run.report.Marks++
-	c.run.marks[body] = outcome
+	c.run.markOutcomes[body] = outcome
 }
 
-// end ends a program; a repeat after a lost answer finds it ended.
-func (c *caller) end(ctx context.Context, name string) {
-	for range endTries {
+// endProgram retries ending a program until it succeeds. Ending an ended program succeeds, too.
+func (c *caller) endProgram(ctx context.Context, name string) {
+	for range maxEndAttempts {
 		callContext, cancel := context.WithTimeout(ctx, callTimeout)
-		err := c.client.End(callContext, c.node(), name)
+		err := c.client.End(callContext, c.pickNode(), name)
 		cancel()
 		if err == nil {
 			return
 		}
-		c.run.pause(ctx, triesPause)
+		c.run.sleep(ctx, retryDelay)
 	}
-	c.run.note("%s could not be ended", name)
+	c.run.addNote("program %s could not be ended", name)
 }
--- a/internal/lab/torture/torture.go
+++ b/internal/lab/torture/torture.go
@@ -1,7 +1,7 @@
-// Package torture runs a whole cluster in one process, with callers, and lets things fail at random
-// from a seed: nodes die and are replaced, engines are cut, garbled, slowed and refuse, the store
-// goes down and loses answers, operators change the configuration. At the end it compares what
-// callers were told with what the engines saw.
+// Package torture runs a cluster and callers in one process under faults that a seed determines:
+// killed nodes, truncated, corrupted, slow and refused engine responses, failures of the
+// configuration store, and configuration changes. It then compares the outcomes that callers
+// received with the requests that engines recorded.
 package torture
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/mountstile/mountstile/internal/standin/storeserver"
 )
 
-// Violations count broken promises; all must be zero.
+// Violations count violated invariants. All must be zero.
 type Violations struct {
 	Lost        int `json:"lost"`
 	Doubled     int `json:"doubled"`
@@ -34,12 +34,12 @@
 	FalseNotRun int `json:"false_not_run"`
 }
 
-// Total sums them.
+// Total is the number of violations of all kinds.
 func (v Violations) Total() int {
 	return v.Lost + v.Doubled + v.Mixed + v.Reordered + v.OverBudget + v.Leaked + v.FalseNotRun
 }
 
-// Report is the result.
+// Report is the result of a run. Marks are calls of an application that must not run twice.
 type Report struct {
 	Seed       uint64         `json:"seed"`
 	Seconds    float64        `json:"seconds"`
@@ -54,7 +54,7 @@
 	Faults     map[string]int `json:"faults"`
 }
 
-// Options shape a run.
+// Options configure a run. Progress receives the name of each injected fault.
 type Options struct {
 	Duration time.Duration
 	Seed     uint64
@@ -65,53 +65,53 @@
 }
 
 const (
-	startTimeout  = 60 * time.Second
-	settleTimeout = 90 * time.Second
-	tokenBudget   = 60000
-	answerTokens  = 24
-	apiKey        = "torture.k." + cluster.DemoSecret
-	shortestFault = 300 * time.Millisecond
-	longestFault  = 3 * time.Second
-	restTime      = 700 * time.Millisecond
-	mostNotes     = 20
+	startTimeout        = 60 * time.Second
+	settleTimeout       = 90 * time.Second
+	tokenBudget         = 60000
+	answerTokens        = 24
+	apiKey              = "torture.k." + cluster.DemoSecret
+	minFaultDuration    = 300 * time.Millisecond
+	faultDurationSpread = 3 * time.Second
+	faultInterval       = 700 * time.Millisecond
+	maxNotes            = 20
 )
 
-// run is one torture.
+// run is the state of a single run.
 type run struct {
 	options Options
 	random  *rand.Rand
 	system  *cluster.Cluster
-	// mutex guards system.Nodes, the report and what callers were told.
-	mutex   sync.RWMutex
-	report  Report
-	marks   map[string]string
-	next    int
-	stopped atomic.Bool
+	// mutex guards system.Nodes, report and markOutcomes.
+	mutex          sync.RWMutex
+	report         Report
+	markOutcomes   map[string]string
+	lastNodeNumber int
+	stopped        atomic.Bool
 }
 
-// Run plays one seed and judges it.
+// Run runs one seed and verifies its invariants.
 func Run(ctx context.Context, options Options) (Report, error) {
-	state := &run{
-		options: options,
-		random:  rand.New(rand.NewPCG(options.Seed, 3)),
-		marks:   make(map[string]string),
-		report:  Report{Seed: options.Seed, Faults: make(map[string]int)},
-		next:    options.Nodes,
+	r := &run{
+		options:        options,
+		random:         rand.New(rand.NewPCG(options.Seed, 3)),
+		markOutcomes:   make(map[string]string),
+		report:         Report{Seed: options.Seed, Faults: make(map[string]int)},
+		lastNodeNumber: options.Nodes,
 	}
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	system, err := cluster.Start(startContext, cluster.Options{
 		Nodes: options.Nodes, Zones: []string{"a", "b", "c"}, Region: "r", Partitions: 6,
-		Engine: emulator.DefaultConfig(), Resources: state.resources(), LogLevel: logrus.ErrorLevel,
+		Engine: emulator.DefaultConfig(), Resources: r.resources(), LogLevel: logrus.ErrorLevel,
 	})
-	state.system = system
-	defer func() { state.system.Stop() }()
+	r.system = system
+	defer func() { r.system.Stop() }()
 	if err != nil {
-		return state.report, err
+		return r.report, err
 	}
-	state.play(ctx)
-	state.judge(ctx)
-	return state.report, nil
+	r.execute(ctx)
+	r.verify(ctx)
+	return r.report, nil
 }
 
 func (r *run) resources() []resource.Resource {
@@ -133,30 +133,30 @@
 	}
 }
 
-// play lets callers call and things fail for the duration, then ends all faults and lets the
-// callers finish.
-func (r *run) play(ctx context.Context) {
+// execute runs the callers and injects faults for the duration, then clears all faults and waits
+// for the callers to finish.
+func (r *run) execute(ctx context.Context) {
 	started := time.Now()
 	var callers sync.WaitGroup
 	finished := make(chan struct{})
 	for number := range r.options.Callers {
 		item := newCaller(r, number)
-		callers.Go(func() { item.play(ctx) })
+		callers.Go(func() { item.execute(ctx) })
 	}
 	go func() {
 		callers.Wait()
 		close(finished)
 	}()
 	for time.Since(started) < r.options.Duration && ctx.Err() == nil {
-		r.fault(ctx)
+		r.injectFault(ctx)
 	}
-	r.endFaults()
+	r.clearFaults()
 	r.stopped.Store(true)
 	<-finished
 	r.report.Seconds = time.Since(started).Seconds()
 }
 
-func (r *run) pause(ctx context.Context, duration time.Duration) {
+func (r *run) sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -165,20 +165,20 @@
 	}
 }
 
-// fault causes one failure, waits, ends it, and rests.
-func (r *run) fault(ctx context.Context) {
+// injectFault injects a random fault, clears it after a random time, and waits before the next one.
+func (r *run) injectFault(ctx context.Context) {
 	kinds := []struct {
-		name  string
-		begin func(ctx context.Context)
+		name   string
+		inject func(ctx context.Context)
 	}{
 		{"node_killed", r.replaceNode},
 		{"engine_cut", r.engineFault(emulator.Faults{CutAfterTokens: 5})},
 		{"engine_garbled", r.engineFault(emulator.Faults{GarbleAfterTokens: 5})},
 		{"engine_ends_early", r.engineFault(emulator.Faults{EndAfterTokens: 5})},
 		{"engine_without_end_mark", r.engineFault(emulator.Faults{NoEndMark: true})},
-		{"resumption_refused", r.resumeFault(http.StatusInternalServerError)},
-		{"resumption_garbled", r.resumeFault(http.StatusOK)},
-		{"resumption_rejected", r.resumeFault(http.StatusBadRequest)},
+		{"resumption_refused", r.resumptionFault(http.StatusInternalServerError)},
+		{"resumption_garbled", r.resumptionFault(http.StatusOK)},
+		{"resumption_rejected", r.resumptionFault(http.StatusBadRequest)},
 		{"engine_refusing", r.engineFault(emulator.Faults{RefuseStatus: 503})},
 		{"engine_slow", r.engineFault(emulator.Faults{Slowdown: 20})},
 		{"releases_refused", r.engineFault(emulator.Faults{RefuseReleases: true})},
@@ -186,20 +186,20 @@
 		{"store_down", r.storeFault(storeserver.Faults{Down: true})},
 		{"store_answers_lost", r.storeFault(storeserver.Faults{LoseAnswers: true})},
 		{"store_slow", r.storeFault(storeserver.Faults{DelayMillis: 1500})},
-		{"configuration_changed", r.change},
+		{"configuration_changed", r.changeConfiguration},
 	}
 	kind := kinds[r.random.IntN(len(kinds))]
 	r.options.Progress("%s", kind.name)
 	r.mutex.Lock()
 	r.report.Faults[kind.name]++
 	r.mutex.Unlock()
-	kind.begin(ctx)
-	r.pause(ctx, shortestFault+time.Duration(r.random.Int64N(int64(longestFault))))
-	r.endFaults()
-	r.pause(ctx, restTime)
+	kind.inject(ctx)
+	r.sleep(ctx, minFaultDuration+time.Duration(r.random.Int64N(int64(faultDurationSpread))))
+	r.clearFaults()
+	r.sleep(ctx, faultInterval)
 }
 
-func (r *run) endFaults() {
+func (r *run) clearFaults() {
 	for _, engine := range r.system.Engines {
 		engine.SetFaults(emulator.Faults{})
 	}
@@ -209,48 +209,49 @@
 	r.system.Store.SetFaults(storeserver.Faults{})
 }
 
-// replaceNode kills a node and starts another one. It waits until each partition has its replicas
-// again: a second loss before that could take a majority, which is not what is promised.
+// replaceNode kills a node and starts another one. It waits until each partition has all its replicas
+// again, since the loss of a second replica could cost a partition its quorum.
 func (r *run) replaceNode(ctx context.Context) {
 	r.mutex.Lock()
-	r.next++
+	r.lastNodeNumber++
 	victim := r.random.IntN(len(r.system.Nodes))
 	zone := r.system.Nodes[victim].Settings().Zone
 	err := r.system.Kill(victim)
 	if err == nil {
-		_, err = r.system.AddNode(fmt.Sprintf("node-%d", r.next), zone)
+		_, err = r.system.AddNode(fmt.Sprintf("node-%d", r.lastNodeNumber), zone)
 	}
 	r.mutex.Unlock()
 	if err != nil {
-		r.note("replacing a node: %s", err)
+		r.addNote("replacing a node failed: %s", err)
 		return
 	}
 	repairContext, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	for !r.repaired() && repairContext.Err() == nil {
-		r.pause(repairContext, restTime/4)
+	for !r.partitionsRepaired() && repairContext.Err() == nil {
+		r.sleep(repairContext, faultInterval/4)
 	}
 	if repairContext.Err() != nil && ctx.Err() == nil {
-		r.note("the partitions were not repaired in time")
+		r.addNote("partitions not repaired before the timeout")
 	}
 }
 
-// repaired reports whether every partition has a leader and three live voters.
-func (r *run) repaired() bool {
+// partitionsRepaired reports whether every partition has a leader and only live voters, as many as
+// the number of nodes allows.
+func (r *run) partitionsRepaired() bool {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	alive := make(map[string]bool)
-	led := make(map[uint32][]string)
+	votersByGroup := make(map[uint32][]string)
 	for _, running := range r.system.Nodes {
 		alive[running.Plane().Membership.View().Self.ReplicaID] = true
 		for _, status := range running.Plane().Host.Statuses() {
 			if status.IsLeader && len(status.Members.Learners) == 0 {
-				led[status.Group] = status.Members.Voters
+				votersByGroup[status.Group] = status.Members.Voters
 			}
 		}
 	}
 	for _, placement := range r.system.Nodes[0].Plane().Partitions.Placements() {
-		voters := led[placement.ID]
+		voters := votersByGroup[placement.ID]
 		dead := slices.ContainsFunc(voters, func(id string) bool { return !alive[id] })
 		if dead || len(voters) != min(3, len(r.system.Nodes)) {
 			return false
@@ -266,14 +267,15 @@
 	}
 }
 
-// leastForResumes is how many engines it takes so that one goes on with what another has cut and a third one refuses, while the
-// breaker of a fourth may be open yet since the fault before. With three, calls ended with no engine left.
-const leastForResumes = 4
+// minEnginesForResumption leaves one engine to resume a call: one truncates its answer, one fails to resume it, and the
+// circuit breaker of one may still be open after the previous fault.
+const minEnginesForResumption = 4
 
-// resumeFault lets one engine cut its answers, and another one answer with a failure's body when it is asked to go on.
-func (r *run) resumeFault(status int) func(context.Context) {
+// resumptionFault makes one engine truncate its answers, and another one respond to resumptions with an error body and
+// the given status.
+func (r *run) resumptionFault(status int) func(context.Context) {
 	return func(context.Context) {
-		if r.options.Engines < leastForResumes {
+		if r.options.Engines < minEnginesForResumption {
 			return
 		}
 		cut := r.random.IntN(r.options.Engines)
@@ -291,16 +293,16 @@
 func (r *run) storeFault(faults storeserver.Faults) func(context.Context) {
 	return func(ctx context.Context) {
 		r.system.Store.SetFaults(faults)
-		r.change(ctx)
+		r.changeConfiguration(ctx)
 	}
 }
 
-// change publishes a new weight of a tenant that nobody uses; it may fail while the store does.
-func (r *run) change(ctx context.Context) {
+// changeConfiguration publishes a new weight for an unused tenant. It may fail while the store is faulty.
+func (r *run) changeConfiguration(ctx context.Context) {
 	weight := float64(1 + r.random.IntN(100))
 	content, err := resource.Encode([]resource.Resource{{Kind: resource.KindTenant, Name: "guest", Tenant: &resource.Tenant{Weight: weight}}})
 	if err != nil {
-		r.note("encoding a change: %s", err)
+		r.addNote("encoding a configuration change failed: %s", err)
 		return
 	}
 	r.mutex.RLock()
@@ -311,18 +313,18 @@
 	}
 }
 
-func (r *run) note(format string, args ...any) {
+func (r *run) addNote(format string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.report.Notes) < mostNotes {
+	if len(r.report.Notes) < maxNotes {
 		r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
 	}
 }
 
-// violate counts a broken promise and notes what it was.
-func (r *run) violate(counter *int, format string, args ...any) {
+// recordViolation increments a counter of Violations and adds a note.
+func (r *run) recordViolation(counter *int, format string, args ...any) {
 	r.mutex.Lock()
 	*counter++
 	r.mutex.Unlock()
-	r.note(format, args...)
+	r.addNote(format, args...)
 }
