--- a/internal/lab/statebench/delay.go
+++ b/internal/lab/statebench/delay.go
@@ -6,40 +6,42 @@
 	"time"
 )
 
-// delayed holds back what passes a connection, in both directions, by a fixed time.
-type delayed struct {
+// delayedConn is a connection with a fixed added delay in each direction. Writes return before the
+// data is sent, so that a sender isn't slowed down by the delay.
+type delayedConn struct {
 	net.Conn
-	distance time.Duration
-	writes   chan parcel
-	arrived  chan parcel
-	once     sync.Once
-	done     chan struct{}
-	rest     []byte
+	delay     time.Duration
+	writes    chan chunk
+	reads     chan chunk
+	closeOnce sync.Once
+	done      chan struct{}
+	unread    []byte
 }
 
-type parcel struct {
+// chunk is data that was written or received, with the time at which to pass it on.
+type chunk struct {
 	data []byte
 	due  time.Time
 	err  error
 }
 
 const (
-	parcelsHeld = 4096
-	parcelBytes = 64 << 10
+	chunkQueueLength = 4096
+	readBufferBytes  = 64 << 10
 )
 
-func newDelayed(raw net.Conn, distance time.Duration) *delayed {
-	created := &delayed{Conn: raw, distance: distance, writes: make(chan parcel, parcelsHeld), arrived: make(chan parcel, parcelsHeld), done: make(chan struct{})}
-	go created.writeLoop()
-	go created.readLoop()
-	return created
+func newDelayedConn(conn net.Conn, delay time.Duration) *delayedConn {
+	delayed := &delayedConn{Conn: conn, delay: delay, writes: make(chan chunk, chunkQueueLength), reads: make(chan chunk, chunkQueueLength), done: make(chan struct{})}
+	go delayed.writeLoop()
+	go delayed.readLoop()
+	return delayed
 }
 
-func (d *delayed) writeLoop() {
+func (d *delayedConn) writeLoop() {
 	for {
 		select {
 		case next := <-d.writes:
-			waitUntil(next.due)
+			sleepUntil(next.due)
 			if _, err := d.Conn.Write(next.data); err != nil {
 				return
 			}
@@ -49,12 +51,12 @@
 	}
 }
 
-func (d *delayed) readLoop() {
+func (d *delayedConn) readLoop() {
 	for {
-		buffer := make([]byte, parcelBytes)
+		buffer := make([]byte, readBufferBytes)
 		count, err := d.Conn.Read(buffer)
 		select {
-		case d.arrived <- parcel{data: buffer[:count], due: time.Now().Add(d.distance), err: err}:
+		case d.reads <- chunk{data: buffer[:count], due: time.Now().Add(d.delay), err: err}:
 		case <-d.done:
 			return
 		}
@@ -64,15 +66,15 @@
 	}
 }
 
-func waitUntil(due time.Time) {
+func sleepUntil(due time.Time) {
 	timer := time.NewTimer(time.Until(due))
 	<-timer.C
 }
 
 // Write implements net.Conn.
-func (d *delayed) Write(data []byte) (int, error) {
+func (d *delayedConn) Write(data []byte) (int, error) {
 	select {
-	case d.writes <- parcel{data: append([]byte(nil), data...), due: time.Now().Add(d.distance)}:
+	case d.writes <- chunk{data: append([]byte(nil), data...), due: time.Now().Add(d.delay)}:
 		return len(data), nil
 	case <-d.done:
 		return 0, net.ErrClosed
@@ -80,29 +82,29 @@
 }
 
 // Read implements net.Conn.
-func (d *delayed) Read(data []byte) (int, error) {
-	if len(d.rest) == 0 {
+func (d *delayedConn) Read(data []byte) (int, error) {
+	if len(d.unread) == 0 {
 		select {
-		case next := <-d.arrived:
-			waitUntil(next.due)
+		case next := <-d.reads:
+			sleepUntil(next.due)
 			if next.err != nil {
 				return 0, next.err
 			}
-			d.rest = next.data
+			d.unread = next.data
 		case <-d.done:
 			return 0, net.ErrClosed
 		}
 	}
-	count := copy(data, d.rest)
-	d.rest = d.rest[count:]
+	count := copy(data, d.unread)
+	d.unread = d.unread[count:]
 	return count, nil
 }
 
-// SetReadDeadline implements net.Conn; the bench has no idle connections to close.
-func (d *delayed) SetReadDeadline(time.Time) error { return nil }
+// SetReadDeadline implements net.Conn. It is ignored: the benchmark has no idle connections to close.
+func (d *delayedConn) SetReadDeadline(time.Time) error { return nil }
 
 // Close implements net.Conn.
-func (d *delayed) Close() error {
-	d.once.Do(func() { close(d.done) })
+func (d *delayedConn) Close() error {
+	d.closeOnce.Do(func() { close(d.done) })
 	return d.Conn.Close()
 }
--- a/internal/lab/statebench/statebench.go
+++ b/internal/lab/statebench/statebench.go
@@ -1,5 +1,5 @@
-// Package statebench measures what replicated program state costs: commits, bytes on the wire as a
-// history grows, memory of programs, time until a killed leader is replaced, and recovery.
+// Package statebench measures the cost of replicated program state: commits, traffic between nodes
+// by length of history, memory of programs, failover time, and recovery from a snapshot.
 package statebench
 
 import (
@@ -29,26 +29,26 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// Commits is the replication of small commands over a group of the given size.
+// Commits is the cost of committing small commands in a replication group.
 type Commits struct {
 	Replicas int `json:"replicas"`
-	// OneWayMillis is the emulated distance between zones.
+	// OneWayMillis is the emulated one-way network delay.
 	OneWayMillis float64 `json:"one_way_ms"`
 	PerSecond    float64 `json:"per_second"`
-	// CoreMicros is processor time of all replicas together for one commit.
+	// CoreMicros is the CPU time for one commit, of all replicas together.
 	CoreMicros float64 `json:"core_us_per_commit"`
-	// LatencyP50 and P99 are of commits one after the other.
+	// LatencyP50 and LatencyP99 are of sequential commits.
 	LatencyP50 float64 `json:"latency_ms_p50"`
 	LatencyP99 float64 `json:"latency_ms_p99"`
 }
 
-// TurnBytes is the traffic between nodes of one call at a length of history.
+// TurnBytes is the traffic between nodes for a call with a history of the given length.
 type TurnBytes struct {
 	HistoryTokens int     `json:"history_tokens"`
 	BytesPerCall  float64 `json:"bytes_per_call"`
 }
 
-// Report is the result; docs/design/program-state.md reads it.
+// Report is the result of all measurements.
 type Report struct {
 	Commits           []Commits   `json:"commits"`
 	Turns             []TurnBytes `json:"turns"`
@@ -63,7 +63,8 @@
 	SnapshotMegabytes float64     `json:"snapshot_mb"`
 }
 
-// Options say how long to measure.
+// Options configure the measurements. Seconds is the duration of each throughput measurement,
+// Failovers the number of killed leaders, and Programs the number of programs in the snapshot.
 type Options struct {
 	Seconds   float64
 	Failovers int
@@ -72,27 +73,27 @@
 }
 
 const (
-	group         = 1
-	parallel      = 64
+	groupID       = 1
+	concurrency   = 64
 	serialCommits = 300
 	callTokens    = 16
 	startTimeout  = 30 * time.Second
 	callTimeout   = 30 * time.Second
 )
 
-// Run measures everything in turn.
+// Run runs all measurements.
 func Run(ctx context.Context, options Options) (Report, error) {
 	var report Report
 	for _, replicas := range []int{1, 3, 5} {
-		for _, distance := range []time.Duration{0, 500 * time.Microsecond, 1500 * time.Microsecond} {
-			if replicas == 1 && distance > 0 {
+		for _, delay := range []time.Duration{0, 500 * time.Microsecond, 1500 * time.Microsecond} {
+			if replicas == 1 && delay > 0 {
 				continue
 			}
-			commits, err := measureCommits(ctx, replicas, distance, options)
+			commits, err := measureCommits(ctx, replicas, delay, options)
 			if err != nil {
 				return report, err
 			}
-			options.Progress("%d replicas, %s apart: %.0f commits/s, %.0f us of a core, p50 %.2f ms, p99 %.2f ms", replicas, distance, commits.PerSecond, commits.CoreMicros, commits.LatencyP50, commits.LatencyP99)
+			options.Progress("%d replicas, one-way delay %s: %.0f commits/s, %.0f us CPU per commit, p50 %.2f ms, p99 %.2f ms", replicas, delay, commits.PerSecond, commits.CoreMicros, commits.LatencyP50, commits.LatencyP99)
 			report.Commits = append(report.Commits, commits)
 		}
 	}
@@ -103,18 +104,18 @@
 		}
 	}
 	measureMemory(&report)
-	options.Progress("a program of one turn: %.0f bytes; of 160,000 tokens: %.0f bytes", report.ProgramBytes, report.ProgramBytesLong)
+	options.Progress("memory of a program of one turn: %.0f bytes; of 160,000 tokens: %.0f bytes", report.ProgramBytes, report.ProgramBytesLong)
 	return report, measureRecovery(options, &report)
 }
 
-// member is one replica on a transport of its own.
-type member struct {
+// groupMember is a replica with its own transport.
+type groupMember struct {
 	network *transport.Transport
 	host    *replica.Host
 }
 
-// startGroup runs a group of replicas over loopback; each connection delays what it receives.
-func startGroup(ctx context.Context, replicas int, distance time.Duration, tasks *sync.WaitGroup) ([]member, error) {
+// startGroup starts a group of replicas that are connected over loopback with the given delay.
+func startGroup(ctx context.Context, replicas int, delay time.Duration, tasks *sync.WaitGroup) ([]groupMember, error) {
 	addresses := make(map[string]string)
 	var listeners []net.Listener
 	voters := consensus.Members{}
@@ -128,58 +129,58 @@
 		listeners = append(listeners, listener)
 		voters.Voters = append(voters.Voters, id)
 	}
-	var members []member
+	var members []groupMember
 	for number, id := range voters.Voters {
-		network := transport.New(transport.Options{Cluster: "bench", NodeID: id, Address: addresses[id], Logger: events.Discard(), Dial: delayedDial(distance)})
+		network := transport.New(transport.Options{Cluster: "bench", NodeID: id, Address: addresses[id], Logger: events.Discard(), Dial: delayedDial(delay)})
 		host := replica.NewHost(replica.Options{
 			ReplicaID: id, Transport: network, Storage: replica.MemoryStorage{}, Logger: events.Discard(),
 			Address:    func(replicaID string) (string, bool) { return addresses[replicaID], true },
 			NewMachine: func(uint32) replica.StateMachine { return program.NewMachine() },
 		})
-		if err := host.Start(group, &voters); err != nil {
+		if err := host.Start(groupID, &voters); err != nil {
 			return nil, err
 		}
 		tasks.Go(func() { _ = network.Serve(listeners[number]) })
 		tasks.Go(func() { _ = host.Run(ctx) })
-		members = append(members, member{network, host})
+		members = append(members, groupMember{network, host})
 	}
 	return members, nil
 }
 
-// delayedDial emulates the distance between zones on both directions of a connection.
-func delayedDial(distance time.Duration) func(context.Context, string) (net.Conn, error) {
+// delayedDial returns a dial function whose connections have the delay in each direction.
+func delayedDial(delay time.Duration) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-		if err != nil || distance == 0 {
-			return raw, err
+		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+		if err != nil || delay == 0 {
+			return conn, err
 		}
-		return newDelayed(raw, distance), nil
+		return newDelayedConn(conn, delay), nil
 	}
 }
 
-func (m member) leads() bool {
-	status, known := m.host.Status(group)
+func (m groupMember) isLeader() bool {
+	status, known := m.host.Status(groupID)
 	return known && status.IsLeader
 }
 
-func waitLeader(ctx context.Context, members []member) (member, error) {
+func waitLeader(ctx context.Context, members []groupMember) (groupMember, error) {
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		for _, candidate := range members {
-			if candidate.leads() {
+			if candidate.isLeader() {
 				return candidate, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return member{}, ctx.Err()
+			return groupMember{}, ctx.Err()
 		case <-ticker.C:
 		}
 	}
 }
 
-func admission(number int64) ([]byte, error) {
+func admitCommand(number int64) ([]byte, error) {
 	return json.Marshal(program.Command{At: 1, Admit: &program.Admit{
 		CallID: fmt.Sprint(number), Program: program.Key{Tenant: "t", Path: fmt.Sprintf("p%d", number%1000)},
 		Service: "s", Gateway: "g", BodyHash: strings.Repeat("0", 64), Reserve: 1,
@@ -187,7 +188,7 @@
 	}})
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -195,10 +196,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func measureCommits(ctx context.Context, replicas int, distance time.Duration, options Options) (Commits, error) {
+func measureCommits(ctx context.Context, replicas int, delay time.Duration, options Options) (Commits, error) {
 	running, stop := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
-	members, err := startGroup(running, replicas, distance, &tasks)
+	members, err := startGroup(running, replicas, delay, &tasks)
 	defer func() {
 		stop()
 		for _, item := range members {
@@ -213,14 +214,14 @@
 	if err != nil {
 		return Commits{}, err
 	}
-	result := Commits{Replicas: replicas, OneWayMillis: distance.Seconds() * 1000}
+	result := Commits{Replicas: replicas, OneWayMillis: delay.Seconds() * 1000}
 	var next atomic.Int64
 	propose := func() error {
-		command, err := admission(next.Add(1))
+		command, err := admitCommand(next.Add(1))
 		if err != nil {
 			return err
 		}
-		_, err = leader.host.Propose(running, group, command)
+		_, err = leader.host.Propose(running, groupID, command)
 		return err
 	}
 	var latencies []float64
@@ -233,17 +234,17 @@
 	}
 	sort.Float64s(latencies)
 	result.LatencyP50, result.LatencyP99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
-	return result, saturate(&result, options, propose)
+	return result, measureThroughput(&result, options, propose)
 }
 
-// saturate proposes from many goroutines for a while.
-func saturate(result *Commits, options Options, propose func() error) error {
-	started, cpu := time.Now(), processorTime()
+// measureThroughput proposes commands from concurrent goroutines for options.Seconds.
+func measureThroughput(result *Commits, options Options, propose func() error) error {
+	started, cpu := time.Now(), cpuTime()
 	deadline := started.Add(time.Duration(options.Seconds * float64(time.Second)))
 	var done atomic.Int64
-	failures := make([]error, parallel)
+	failures := make([]error, concurrency)
 	var tasks sync.WaitGroup
-	for index := range parallel {
+	for index := range concurrency {
 		tasks.Go(func() {
 			for time.Now().Before(deadline) {
 				if failures[index] = propose(); failures[index] != nil {
@@ -260,7 +261,7 @@
 		}
 	}
 	result.PerSecond = float64(done.Load()) / time.Since(started).Seconds()
-	result.CoreMicros = float64((processorTime() - cpu).Microseconds()) / float64(done.Load())
+	result.CoreMicros = float64((cpuTime() - cpu).Microseconds()) / float64(done.Load())
 	return nil
 }
 
@@ -280,7 +281,7 @@
 
 func apiKey() string { return "bench.k." + cluster.DemoSecret }
 
-// measureTurns grows a program's history and counts what travels between nodes for one more call.
+// measureTurns measures the traffic between nodes for a call, for several lengths of history.
 func measureTurns(ctx context.Context, options Options, report *Report) error {
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -303,19 +304,19 @@
 				return err
 			}
 			if number > 0 {
-				// The first call brings the history in; the others show what a turn costs.
+				// The first call replicates the whole history.
 				total += sentBytes(system) - before
 			}
 			call.Messages = append(call.Messages, runner.Message{Role: "assistant", Content: reply.Content}, runner.Message{Role: "user", Content: "go on"})
 		}
 		turn := TurnBytes{HistoryTokens: tokens, BytesPerCall: float64(total) / (calls - 1)}
-		options.Progress("%d tokens of history: %.0f bytes between nodes a call", tokens, turn.BytesPerCall)
+		options.Progress("%d tokens of history: %.0f bytes between nodes per call", tokens, turn.BytesPerCall)
 		report.Turns = append(report.Turns, turn)
 	}
 	return nil
 }
 
-// sentBytes sums what carries program state and decisions; heartbeats and probes are left out.
+// sentBytes is the traffic between nodes without membership probes and heartbeats.
 func sentBytes(system *cluster.Cluster) int64 {
 	var total int64
 	for _, running := range system.Nodes {
@@ -328,11 +329,11 @@
 	return total
 }
 
-// measureFailover kills the leader of a program's partition and times its next served call.
+// measureFailover measures the time from the loss of a partition's leader to the next answered call.
 func measureFailover(ctx context.Context, options Options, report *Report) error {
 	var times []float64
 	for number := range options.Failovers {
-		took, err := failOver(ctx, number)
+		took, err := failoverTime(ctx, number)
 		if err != nil {
 			return err
 		}
@@ -343,11 +344,13 @@
 	if len(times) > 0 {
 		report.FailoverP50, report.FailoverMax = times[len(times)/2], times[len(times)-1]
 	}
-	options.Progress("leader killed to next served call: p50 %.0f ms, max %.0f ms of %d", report.FailoverP50, report.FailoverMax, len(times))
+	options.Progress("failover to the next answered call: p50 %.0f ms, max %.0f ms, %d failovers", report.FailoverP50, report.FailoverMax, len(times))
 	return nil
 }
 
-func failOver(ctx context.Context, number int) (time.Duration, error) {
+// failoverTime starts a cluster, kills the leader of a program's partition, and returns how long
+// the program's next call takes.
+func failoverTime(ctx context.Context, number int) (time.Duration, error) {
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	system, err := newCluster(startContext)
@@ -361,7 +364,7 @@
 	if _, err := client.Chat(ctx, system.APIURLs()[0], call); err != nil {
 		return 0, err
 	}
-	id, err := locate(system, call.Program)
+	id, err := locatePartition(system, call.Program)
 	if err != nil {
 		return 0, err
 	}
@@ -372,7 +375,7 @@
 		}
 	}
 	if victim < 0 {
-		return 0, errors.WithStack(&cluster.ErrNotReady{Nodes: []string{"no leader"}})
+		return 0, errors.WithStack(&cluster.ErrNotReady{Nodes: []string{"partition leader"}})
 	}
 	survivor := system.Nodes[(victim+1)%len(system.Nodes)]
 	started := time.Now()
@@ -385,13 +388,13 @@
 	return time.Since(started), err
 }
 
-func locate(system *cluster.Cluster, path string) (uint32, error) {
+func locatePartition(system *cluster.Cluster, path string) (uint32, error) {
 	id, _, err := system.Nodes[0].Plane().Partitions.Locate("", "bench", path)
 	return id, err
 }
 
-// fill runs one whole call in each of count programs.
-func fill(machine *program.Machine, count int, message program.Message) {
+// addPrograms adds count programs, each with one completed call.
+func addPrograms(machine *program.Machine, count int, message program.Message) {
 	for number := range count {
 		key := program.Key{Tenant: "t", Path: fmt.Sprintf("program-%d", number)}
 		callID := fmt.Sprintf("call-%d", number)
@@ -401,15 +404,14 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
 
-// userMessage is a message of random words from a vocabulary of 4096, so that it compresses about
-// as text does and not as a repeated letter would.
+// userMessage is a message of random words, which compresses about as well as natural text.
 func userMessage(bytes int, number int) program.Message {
 	random := rand.New(rand.NewPCG(uint64(number), 7))
 	var text strings.Builder
@@ -434,22 +436,22 @@
 
 func measureMemory(report *Report) {
 	const short, long = 20000, 300
-	before := heap()
+	before := heapBytes()
 	machine := program.NewMachine()
-	fill(machine, short, userMessage(200, 0))
-	report.ProgramBytes = float64(heap()-before) / short
+	addPrograms(machine, short, userMessage(200, 0))
+	report.ProgramBytes = float64(heapBytes()-before) / short
 	runtime.KeepAlive(machine)
-	before = heap()
+	before = heapBytes()
 	machine = program.NewMachine()
 	for number := range long {
-		fillOne(machine, number)
+		addLongProgram(machine, number)
 	}
-	report.ProgramBytesLong = float64(heap()-before) / long
+	report.ProgramBytesLong = float64(heapBytes()-before) / long
 	runtime.KeepAlive(machine)
 }
 
-// fillOne makes one program of 160,000 tokens in 100 turns.
-func fillOne(machine *program.Machine, number int) {
+// addLongProgram adds a program of 160,000 tokens in 100 turns.
+func addLongProgram(machine *program.Machine, number int) {
 	const turns, bytes = 100, 160000 * 4
 	key := program.Key{Tenant: "t", Path: fmt.Sprintf("long-%d", number)}
 	for turn := range turns {
@@ -462,7 +464,7 @@
 
 func measureRecovery(options Options, report *Report) error {
 	machine := program.NewMachine()
-	fill(machine, options.Programs, userMessage(200, 0))
+	addPrograms(machine, options.Programs, userMessage(200, 0))
 	started := time.Now()
 	snapshot, err := machine.Snapshot()
 	if err != nil {
