--- a/internal/lab/modelbench/modelbench.go
+++ b/internal/lab/modelbench/modelbench.go
@@ -1,6 +1,5 @@
-// Package modelbench measures what it brings that engines load the models that are called for: calls
-// of two models, whose shares swap half-way, arrive at the same moments at engines that are divided
-// between the models for good, and at engines that the system orders to load. It runs the whole path.
+// Package modelbench compares engines that are divided statically between two models with engines
+// that load models on demand. Both serve the same calls, whose shares of the two models swap half-way.
 package modelbench
 
 import (
@@ -22,55 +21,59 @@
 	"github.com/mountstile/mountstile/internal/standin/weightserver"
 )
 
-// Options shape a run.
+// Options configure a run.
 type Options struct {
-	// Engines have Slots places each.
+	// Engines is the number of engines, with Slots each.
 	Engines int
 	Slots   int
-	// CallsPerSecond arrive at random; the favoured model gets FavouredShare of them.
+	// CallsPerSecond is the mean rate of a Poisson process. FavouredShare of the calls are for the
+	// favoured model.
 	CallsPerSecond float64
 	FavouredShare  float64
-	Tokens         int
+	// Tokens is the length of each answer.
+	Tokens int
 	// PhaseDuration is how long each model is the favoured one.
 	PhaseDuration time.Duration
-	// LoadSeconds is how long one engine alone takes to pull a model's weights.
+	// LoadSeconds is how long an engine takes to load a model's weights if no other engine loads.
 	LoadSeconds float64
-	AtOnce      int
+	// AtOnce is how many engines may load at the same time.
+	AtOnce int
+	// HoldSeconds is how long an engine keeps a model at least.
 	HoldSeconds float64
 	Seed        uint64
 	Progress    func(format string, args ...any)
 }
 
-// Result is what callers saw of one way.
+// Result is what the callers of one setup observed.
 type Result struct {
 	Calls   int     `json:"calls"`
 	Refused int     `json:"refused"`
 	P50     float64 `json:"call_ms_p50"`
 	P95     float64 `json:"call_ms_p95"`
 	P99     float64 `json:"call_ms_p99"`
-	// Loads is how often an engine began to load a model.
+	// Loads is how many times an engine started to load a model.
 	Loads int64 `json:"loads"`
 }
 
-// Report is the result.
+// Report compares statically divided engines with engines that load models on demand.
 type Report struct {
 	Divided Result `json:"divided"`
 	Loading Result `json:"loading"`
 }
 
 const (
-	startTimeout  = 60 * time.Second
-	weightBytes   = 1 << 20
-	queueSeconds  = 10
-	apiKey        = "bench.k." + cluster.DemoSecret
-	firstModel    = "first"
-	secondModel   = "second"
-	highestMillis = int64(time.Hour / time.Millisecond)
-	digits        = 3
-	loopbackAny   = "127.0.0.1:0"
+	startTimeout      = 60 * time.Second
+	weightBytes       = 1 << 20
+	queueSeconds      = 10
+	apiKey            = "bench.k." + cluster.DemoSecret
+	firstModel        = "first"
+	secondModel       = "second"
+	maxLatencyMillis  = int64(time.Hour / time.Millisecond)
+	significantDigits = 3
+	listenAddress     = "127.0.0.1:0"
 )
 
-// Run measures both ways, one after the other.
+// Run measures both setups, one after the other.
 func Run(ctx context.Context, options Options) (Report, error) {
 	var report Report
 	var err error
@@ -82,35 +85,35 @@
 }
 
 func measure(ctx context.Context, options Options, loading bool) (Result, error) {
-	weights, err := serveWeights(options)
+	weightServer, err := serveWeights(options)
 	if err != nil {
 		return Result{}, err
 	}
-	defer func() { _ = weights.Close() }()
+	defer func() { _ = weightServer.Close() }()
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	system, err := cluster.Start(startContext, cluster.Options{
 		Nodes: 3, Zones: []string{"a", "b", "c"}, Region: "r", Partitions: 6, Engine: emulator.DefaultConfig(),
-		Resources: options.resources("http://"+weights.Addr, loading),
+		Resources: options.resources("http://"+weightServer.Addr, loading),
 	})
 	defer system.Stop()
 	if err != nil {
 		return Result{}, err
 	}
 	if loading {
-		if err := awaitModels(startContext, system); err != nil {
+		if err := waitForModels(startContext, system); err != nil {
 			return Result{}, err
 		}
 	}
-	options.Progress("loading %v: %d engines ready", loading, options.Engines)
+	options.Progress("loading on demand %v: %d engines ready", loading, options.Engines)
 	before := countLoads(system)
-	side := play(ctx, options, system)
-	side.Loads = countLoads(system) - before
-	return side, ctx.Err()
+	result := sendCalls(ctx, options, system)
+	result.Loads = countLoads(system) - before
+	return result, ctx.Err()
 }
 
 func serveWeights(options Options) (*http.Server, error) {
-	listener, err := net.Listen("tcp", loopbackAny)
+	listener, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "listening")
 	}
@@ -120,7 +123,8 @@
 	return server, nil
 }
 
-// resources makes one pool for both models, or one of half the engines for each.
+// resources returns one pool for both models if the engines load on demand, or else a pool of half
+// the engines for each model.
 func (o Options) resources(weightStore string, loading bool) []resource.Resource {
 	engines := make([]resource.Engine, o.Engines)
 	for number := range engines {
@@ -145,8 +149,8 @@
 	)
 }
 
-// awaitModels waits until each engine has its first model.
-func awaitModels(ctx context.Context, system *cluster.Cluster) error {
+// waitForModels waits until each engine has loaded a model.
+func waitForModels(ctx context.Context, system *cluster.Cluster) error {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -175,28 +179,28 @@
 	return loads
 }
 
-// play sends the calls of both halves, each at its moment whether earlier ones have ended or not.
-func play(ctx context.Context, options Options, system *cluster.Cluster) Result {
+// sendCalls sends the calls of both phases at their arrival times, whether or not earlier calls are done.
+func sendCalls(ctx context.Context, options Options, system *cluster.Cluster) Result {
 	random := rand.New(rand.NewPCG(options.Seed, 1))
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	histogram := hdrhistogram.New(1, highestMillis, digits)
-	var side Result
+	histogram := hdrhistogram.New(1, maxLatencyMillis, significantDigits)
+	var result Result
 	var mutex sync.Mutex
 	var calls sync.WaitGroup
 	addresses := system.APIURLs()
 	started := time.Now()
 	at := time.Duration(0)
 	for number := 0; at < 2*options.PhaseDuration && ctx.Err() == nil; number++ {
-		pauseUntil(ctx, started.Add(at))
+		sleepUntil(ctx, started.Add(at))
 		call := options.call(random, at, number)
 		calls.Go(func() {
 			reply, err := client.Chat(ctx, addresses[number%len(addresses)], call)
 			mutex.Lock()
 			defer mutex.Unlock()
-			side.Calls++
+			result.Calls++
 			if err != nil {
-				side.Refused++
+				result.Refused++
 				options.Progress("%s: %s", call.Model, err)
 				return
 			}
@@ -205,12 +209,13 @@
 		at += time.Duration(random.ExpFloat64() / options.CallsPerSecond * float64(time.Second))
 	}
 	calls.Wait()
-	side.P50 = float64(histogram.ValueAtQuantile(50))
-	side.P95 = float64(histogram.ValueAtQuantile(95))
-	side.P99 = float64(histogram.ValueAtQuantile(99))
-	return side
+	result.P50 = float64(histogram.ValueAtQuantile(50))
+	result.P95 = float64(histogram.ValueAtQuantile(95))
+	result.P99 = float64(histogram.ValueAtQuantile(99))
+	return result
 }
 
+// call returns the call that arrives at the given time after the start.
 func (o Options) call(random *rand.Rand, at time.Duration, number int) runner.Call {
 	favoured, other := firstModel, secondModel
 	if at >= o.PhaseDuration {
@@ -223,8 +228,8 @@
 	return runner.Call{Model: model, Tokens: o.Tokens, Messages: []runner.Message{{Role: "user", Content: fmt.Sprintf("question %d", number)}}}
 }
 
-func pauseUntil(ctx context.Context, moment time.Time) {
-	timer := time.NewTimer(time.Until(moment))
+func sleepUntil(ctx context.Context, due time.Time) {
+	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
