--- a/internal/lab/pathbench/pathbench.go
+++ b/internal/lab/pathbench/pathbench.go
@@ -1,5 +1,5 @@
-// Package pathbench measures what the whole path adds to a call: callers talk to an engine directly
-// and through the nodes, in one run, call by call in turn.
+// Package pathbench measures the overhead of the nodes: it compares calls through them with calls
+// directly to an engine.
 package pathbench
 
 import (
@@ -19,73 +19,75 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// Latency is in milliseconds.
+// Latency holds percentiles in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
 
-// Result is one way to the engine.
+// Result is the measurement of one path to the engine.
 type Result struct {
 	Call              Latency `json:"call_ms"`
 	FirstTokenLatency Latency `json:"first_token_ms"`
-	// CallsPerSecond and CoreMicros are of many callers at once; the processor time is the whole
-	// process's, engine and callers included.
+	// CallsPerSecond and CoreMicros are of concurrent callers. The CPU time is that of the whole
+	// process, including engine and callers.
 	CallsPerSecond float64 `json:"calls_per_second"`
 	CoreMicros     float64 `json:"core_us_per_call"`
-	// StreamBytes is the live memory of one answer under way, engine and caller included.
+	// StreamBytes is the live memory for each open stream, including engine and caller.
 	StreamBytes float64 `json:"bytes_per_stream"`
 }
 
-// Report is the result.
+// Report compares the path through the nodes with the direct one.
 type Report struct {
 	Tokens int    `json:"tokens"`
 	Direct Result `json:"direct"`
 	Nodes  Result `json:"through_nodes"`
-	// AddedFirstToken is the difference at p50 and p99; AddedCoreMicros that of processor time.
+	// AddedFirstToken and AddedCall are differences between the percentiles of both paths.
 	AddedFirstToken Latency `json:"added_first_token_ms"`
 	AddedCall       Latency `json:"added_call_ms"`
 	AddedCoreMicros float64 `json:"added_core_us_per_call"`
-	// AddedStreamBytes is the memory that the nodes hold for one answer under way.
+	// AddedStreamBytes is the memory that the nodes hold for each open stream.
 	AddedStreamBytes float64 `json:"added_bytes_per_stream"`
 }
 
-// Options say how much to measure.
+// Options configure the measurements.
 type Options struct {
-	// Calls are made one after the other on each side; Tokens is the length of each answer.
-	Calls  int
+	// Calls is the number of sequential calls over each path.
+	Calls int
+	// Tokens is the length of each answer.
 	Tokens int
-	// Seconds is how long Callers call at once on each side.
+	// Seconds is the duration of the throughput measurement of each path.
 	Seconds float64
+	// Callers is the number of concurrent callers in the throughput measurement.
 	Callers int
 }
 
 const (
-	startTimeout  = 30 * time.Second
-	warmUpCalls   = 100
-	highestMicros = int64(time.Hour / time.Microsecond)
-	digits        = 3
-	apiKey        = "bench.k." + cluster.DemoSecret
-	// heldStreams run at once, slowed down, while memory is read.
-	heldStreams  = 200
-	heldSlowdown = 2000
-	heldPoll     = 20 * time.Millisecond
+	startTimeout      = 30 * time.Second
+	warmUpCalls       = 100
+	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
+	apiKey            = "bench.k." + cluster.DemoSecret
+	// openStreams is the number of streams that are open, slowed down, while memory is measured.
+	openStreams    = 200
+	streamSlowdown = 2000
+	pollInterval   = 20 * time.Millisecond
 )
 
-// side is one way under measurement.
-type side struct {
-	address []string
-	call    *hdrhistogram.Histogram
-	first   *hdrhistogram.Histogram
-	result  Result
+// measuredPath is a path to the engine, with its histograms in microseconds.
+type measuredPath struct {
+	urls       []string
+	call       *hdrhistogram.Histogram
+	firstToken *hdrhistogram.Histogram
+	result     Result
 }
 
-func newSide(addresses ...string) *side {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, highestMicros, digits) }
-	return &side{address: addresses, call: histogram(), first: histogram()}
+func newMeasuredPath(addresses ...string) *measuredPath {
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, significantDigits) }
+	return &measuredPath{urls: addresses, call: histogram(), firstToken: histogram()}
 }
 
-// Run measures both sides.
+// Run measures both paths.
 func Run(ctx context.Context, options Options) (Report, error) {
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -104,50 +106,52 @@
 		return Report{}, err
 	}
 	pool, _ := system.Nodes[0].Plane().Config.Current().Set.Pool("pool")
-	direct, nodes := newSide(pool.Engines[0].URL), newSide(system.APIURLs()...)
+	direct, nodes := newMeasuredPath(pool.Engines[0].URL), newMeasuredPath(system.APIURLs()...)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	// The first calls wait for the partitions' first leaders; they are not what is measured.
+	// The first calls wait for the election of the partitions' leaders.
 	warmUp := options
 	warmUp.Calls = warmUpCalls
-	if err := inTurn(ctx, client, warmUp, newSide(direct.address...), newSide(nodes.address...)); err != nil {
+	if err := measureLatency(ctx, client, warmUp, newMeasuredPath(direct.urls...), newMeasuredPath(nodes.urls...)); err != nil {
 		return Report{}, err
 	}
-	if err := inTurn(ctx, client, options, direct, nodes); err != nil {
+	if err := measureLatency(ctx, client, options, direct, nodes); err != nil {
 		return Report{}, err
 	}
-	for _, way := range []*side{direct, nodes} {
-		if err := way.saturate(ctx, client, options); err != nil {
+	for _, path := range []*measuredPath{direct, nodes} {
+		if err := path.measureThroughput(ctx, client, options); err != nil {
 			return Report{}, err
 		}
-		if err := way.hold(ctx, client, options, system); err != nil {
+		if err := path.measureStreamMemory(ctx, client, options, system); err != nil {
 			return Report{}, err
 		}
 	}
-	return report(options, direct, nodes), nil
+	return newReport(options, direct, nodes), nil
 }
 
-func (s *side) request(options Options, number int64) (string, runner.Call) {
+// request returns a call and the URL to send it to.
+func (p *measuredPath) request(options Options, number int64) (string, runner.Call) {
 	text := fmt.Sprintf("question %d of many, a few words long", number)
-	return s.address[number%int64(len(s.address))], runner.Call{Model: "m", Tokens: options.Tokens, Messages: []runner.Message{{Role: "user", Content: text}}}
+	return p.urls[number%int64(len(p.urls))], runner.Call{Model: "m", Tokens: options.Tokens, Messages: []runner.Message{{Role: "user", Content: text}}}
 }
 
-// inTurn makes single calls, one side after the other, so that both see the same machine.
-func inTurn(ctx context.Context, client *runner.Client, options Options, sides ...*side) error {
+// measureLatency makes sequential calls that alternate between the paths, so that both are measured
+// under the same load of the machine.
+func measureLatency(ctx context.Context, client *runner.Client, options Options, paths ...*measuredPath) error {
 	for number := range options.Calls {
-		for _, way := range sides {
-			address, request := way.request(options, int64(number))
+		for _, path := range paths {
+			address, request := path.request(options, int64(number))
 			reply, err := client.Chat(ctx, address, request)
 			if err != nil {
 				return err
 			}
-			// An hour is the most that the histogram holds.
-			_ = way.call.RecordValue(min(reply.Latency.Microseconds(), highestMicros))
-			_ = way.first.RecordValue(min(reply.FirstTokenLatency.Microseconds(), highestMicros))
+			// A value within the histogram's range can't fail.
+			_ = path.call.RecordValue(min(reply.Latency.Microseconds(), maxLatencyMicros))
+			_ = path.firstToken.RecordValue(min(reply.FirstTokenLatency.Microseconds(), maxLatencyMicros))
 		}
 	}
-	for _, way := range sides {
-		way.result.Call, way.result.FirstTokenLatency = latency(way.call), latency(way.first)
+	for _, path := range paths {
+		path.result.Call, path.result.FirstTokenLatency = latency(path.call), latency(path.firstToken)
 	}
 	return nil
 }
@@ -160,7 +164,8 @@
 	return Latency{P50: l.P50 - other.P50, P99: l.P99 - other.P99}
 }
 
-func processorTime() time.Duration {
+// cpuTime is the user and system time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -168,9 +173,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// saturate lets many callers call for a while.
-func (s *side) saturate(ctx context.Context, client *runner.Client, options Options) error {
-	started, cpu := time.Now(), processorTime()
+// measureThroughput runs concurrent callers for options.Seconds.
+func (p *measuredPath) measureThroughput(ctx context.Context, client *runner.Client, options Options) error {
+	started, cpu := time.Now(), cpuTime()
 	deadline := started.Add(time.Duration(options.Seconds * float64(time.Second)))
 	var done, next atomic.Int64
 	failures := make([]error, options.Callers)
@@ -178,7 +183,7 @@
 	for index := range options.Callers {
 		tasks.Go(func() {
 			for time.Now().Before(deadline) {
-				address, request := s.request(options, next.Add(1))
+				address, request := p.request(options, next.Add(1))
 				if _, failures[index] = client.Chat(ctx, address, request); failures[index] != nil {
 					return
 				}
@@ -192,12 +197,12 @@
 			return failure
 		}
 	}
-	s.result.CallsPerSecond = float64(done.Load()) / time.Since(started).Seconds()
-	s.result.CoreMicros = float64((processorTime() - cpu).Microseconds()) / float64(done.Load())
+	p.result.CallsPerSecond = float64(done.Load()) / time.Since(started).Seconds()
+	p.result.CoreMicros = float64((cpuTime() - cpu).Microseconds()) / float64(done.Load())
 	return nil
 }
 
-// liveBytes is the memory in use after a collection.
+// liveBytes is the heap and stack memory in use after a garbage collection.
 func liveBytes() float64 {
 	runtime.GC()
 	var memory runtime.MemStats
@@ -205,34 +210,34 @@
 	return float64(memory.HeapAlloc + memory.StackInuse)
 }
 
-// hold opens many streams, looks at the memory while all are under way, and ends them.
-func (s *side) hold(ctx context.Context, client *runner.Client, options Options, system *cluster.Cluster) error {
+// measureStreamMemory measures the live memory while openStreams answers are in progress.
+func (p *measuredPath) measureStreamMemory(ctx context.Context, client *runner.Client, options Options, system *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	engine := system.Engines["m1"]
 	idle := liveBytes()
-	engine.SetFaults(emulator.Faults{Slowdown: heldSlowdown})
+	engine.SetFaults(emulator.Faults{Slowdown: streamSlowdown})
 	var streams sync.WaitGroup
 	defer streams.Wait()
 	defer engine.SetFaults(emulator.Faults{})
-	for number := range heldStreams {
-		address, request := s.request(options, int64(number))
+	for number := range openStreams {
+		address, request := p.request(options, int64(number))
 		streams.Go(func() { _, _ = client.Chat(ctx, address, request) })
 	}
-	ticker := time.NewTicker(heldPoll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for engine.Stats().Running < heldStreams {
+	for engine.Stats().Running < openStreams {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
 	}
-	s.result.StreamBytes = (liveBytes() - idle) / heldStreams
+	p.result.StreamBytes = (liveBytes() - idle) / openStreams
 	return nil
 }
 
-func report(options Options, direct, nodes *side) Report {
+func newReport(options Options, direct, nodes *measuredPath) Report {
 	return Report{
 		Tokens:          options.Tokens,
 		Direct:          direct.result,
