--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -11,39 +11,40 @@
 	"github.com/mountstile/mountstile/internal/engine"
 )
 
-// simulatedEngine runs the emulator's model in virtual time.
+// simulatedEngine runs the emulator's engine model in virtual time.
 type simulatedEngine struct {
-	clock  *clock.Virtual
-	config emulator.Config
-	model  *emulator.Model
-	jobs   map[string]*simulatedJob
-	wake   clock.Signal
-	down   bool
-	hung   bool
-	// factor multiplies the time of a step.
-	factor float64
-	// retired is the accounting of caches that were lost with the engine.
-	retired emulator.CacheStats
+	clock   *clock.Virtual
+	config  emulator.Config
+	model   *emulator.Model
+	jobs    map[string]*simulatedJob
+	wake    clock.Signal
+	down    bool
+	hanging bool
+	// stepFactor multiplies the time of a step.
+	stepFactor float64
+	// lostCache sums the statistics of the caches before each crash.
+	lostCache emulator.CacheStats
 }
 
-// simulatedJob is one request at an engine.
+// simulatedJob is a request at an engine. The signal first fires with the first token, and done with the
+// last; both fire if the engine crashes.
 type simulatedJob struct {
 	first     clock.Signal
 	done      clock.Signal
 	generated int
 	cached    int
 	lost      bool
-	pace      engine.StepTimer
+	stepTimer engine.StepTimer
 }
 
 func newSimulatedEngine(virtual *clock.Virtual, config emulator.Config) *simulatedEngine {
-	return &simulatedEngine{clock: virtual, config: config, model: emulator.NewModel(config), jobs: make(map[string]*simulatedJob), wake: virtual.NewSignal(), factor: 1}
+	return &simulatedEngine{clock: virtual, config: config, model: emulator.NewModel(config), jobs: make(map[string]*simulatedJob), wake: virtual.NewSignal(), stepFactor: 1}
 }
 
-// run steps the model until nothing is left to do for good.
+// run steps the model until it has been idle for clock.Forever.
 func (e *simulatedEngine) run() {
 	for {
-		if e.down || e.hung || !e.model.Busy() {
+		if e.down || e.hanging || !e.model.Busy() {
 			e.wake = e.clock.NewSignal()
 			if !e.wake.Wait(context.Background(), clock.Forever) {
 				return
@@ -51,25 +52,25 @@
 			continue
 		}
 		model := e.model
-		took, progress := model.Step()
-		e.clock.Sleep(time.Duration(float64(took) * e.factor))
+		duration, progress := model.Step()
+		e.clock.Sleep(time.Duration(float64(duration) * e.stepFactor))
 		if model != e.model {
-			// The engine died during the step.
+			// The engine crashed during the step.
 			continue
 		}
 		for _, item := range progress {
-			e.deliver(item)
+			e.recordProgress(item)
 		}
 	}
 }
 
-func (e *simulatedEngine) deliver(item emulator.Progress) {
+func (e *simulatedEngine) recordProgress(item emulator.Progress) {
 	job := e.jobs[item.ID]
 	if job == nil {
 		return
 	}
 	job.generated, job.cached = item.Token, item.Cached
-	job.pace.RecordChunk(e.clock.Now())
+	job.stepTimer.RecordChunk(e.clock.Now())
 	job.first.Fire()
 	if item.Done {
 		delete(e.jobs, item.ID)
@@ -77,7 +78,7 @@
 	}
 }
 
-// submit starts a request; false means that the engine can't be reached.
+// submit starts a request. It returns false if the engine is down.
 func (e *simulatedEngine) submit(request emulator.Request) (*simulatedJob, bool) {
 	if e.down {
 		return nil, false
@@ -89,29 +90,29 @@
 	return job, true
 }
 
-// abandon cancels a request whose caller has given the engine up.
-func (e *simulatedEngine) abandon(id string) {
+// cancel removes a request whose caller no longer waits for it.
+func (e *simulatedEngine) cancel(id string) {
 	delete(e.jobs, id)
 	e.model.Cancel(id)
 }
 
-func (e *simulatedEngine) strike(disturbance Fault) {
-	switch disturbance.Kind {
+func (e *simulatedEngine) applyFault(fault Fault) {
+	switch fault.Kind {
 	case Kill:
-		e.fail()
+		e.crash()
 	case Hang:
-		e.hung = true
+		e.hanging = true
 	case Slow:
-		e.factor = disturbance.Factor
+		e.stepFactor = fault.Factor
 	}
 }
 
-// fail loses the engine with its cache and all that runs on it.
-func (e *simulatedEngine) fail() {
+// crash drops the engine's cache and fails its running requests.
+func (e *simulatedEngine) crash() {
 	e.down = true
-	e.retired = e.retired.Add(e.model.Cache())
+	e.lostCache = e.lostCache.Add(e.model.Cache())
 	e.model = emulator.NewModel(e.config)
-	// In the order of their names, so that a run is the same each time.
+	// A fixed order keeps the simulation deterministic.
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
 		job := e.jobs[id]
 		job.lost = true
@@ -122,9 +123,9 @@
 }
 
 func (e *simulatedEngine) recover() {
-	e.down, e.hung, e.factor = false, false, 1
+	e.down, e.hanging, e.stepFactor = false, false, 1
 	e.wake.Fire()
 }
 
-// cache is the accounting over the engine's whole life.
-func (e *simulatedEngine) cache() emulator.CacheStats { return e.retired.Add(e.model.Cache()) }
+// cache is the cache statistics since the start, including those before crashes.
+func (e *simulatedEngine) cache() emulator.CacheStats { return e.lostCache.Add(e.model.Cache()) }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment compares placement policies on the whole real path, over loopback: the same
-// programs, from the same seeds, for each policy. docs/design/scheduling.md reads its results.
+// Package experiment compares placement policies: it runs the same generated programs under each
+// policy, on a cluster over loopback or as a simulation in virtual time.
 package experiment
 
 import (
@@ -19,16 +19,16 @@
 	"github.com/mountstile/mountstile/internal/workload"
 )
 
-// Sample is what one policy did in one repeat.
+// Sample is the result of one policy in one repeat at one load.
 type Sample struct {
 	Policy string
 	Load   float64
 	Repeat int
 	Result *runner.Result
 	Cache  emulator.CacheStats
-	// Seconds is how long the run took, from the first program's start to the last's end.
+	// Seconds is the time from the start of the run to the end of the last program.
 	Seconds float64
-	// Demand is the work of the run, in seconds of one saturated engine.
+	// Demand is the work of all programs in seconds of one saturated engine; see the function Demand.
 	Demand float64
 }
 
@@ -39,13 +39,12 @@
 	engineSlots  = 16
 )
 
-// Run plays all policies, loads and repeats on the real path, in turn, and reports progress.
+// Run runs each load, repeat and policy in turn on a cluster, and writes a line of progress for each.
 func Run(ctx context.Context, file File, progress io.Writer) ([]Sample, error) {
-	return runAll(ctx, file, progress, runOne)
+	return runAll(ctx, file, progress, runOnCluster)
 }
 
-// RunVirtual does the same in virtual time: the product's decisions, without processes, network and
-// waiting.
+// RunVirtual is Run on a simulation in virtual time, without nodes and network.
 func RunVirtual(ctx context.Context, file File, progress io.Writer) ([]Sample, error) {
 	return runAll(ctx, file, progress, runVirtual)
 }
@@ -74,23 +73,23 @@
 	return samples, nil
 }
 
-// programsFor draws as many programs as make the load: their demand over the span in which they
-// start is the given share of what the engines can do.
-func programsFor(file File, load float64, repeat int) (programs []workload.Program, demand float64) {
-	available := load * float64(file.Engines) * file.Seconds
-	// A longer list begins with the same programs.
+// programsForLoad generates as many programs as make up the load, which is the ratio of their demand
+// to the capacity of the engines during the time in which programs start.
+func programsForLoad(file File, load float64, repeat int) (programs []workload.Program, demand float64) {
+	maxDemand := load * float64(file.Engines) * file.Seconds
+	// A longer list starts with the same programs.
 	for count := 64; ; count *= 2 {
-		drawn := drawPrograms(file, repeat, count)
-		var enough bool
-		if programs, demand, enough = takeDemand(drawn, file.Engine, available); enough || count >= mostPrograms {
+		generated := generatePrograms(file, repeat, count)
+		var reached bool
+		if programs, demand, reached = limitDemand(generated, file.Engine, maxDemand); reached || count >= maxPrograms {
 			return programs, demand
 		}
 	}
 }
 
-const mostPrograms = 1 << 17
+const maxPrograms = 1 << 17
 
-func drawPrograms(file File, repeat, count int) []workload.Program {
+func generatePrograms(file File, repeat, count int) []workload.Program {
 	generate := workload.Brindleway
 	if file.Workload == "mapishi" {
 		generate = workload.Mapishi
@@ -100,11 +99,12 @@
 	})
 }
 
-// takeDemand takes programs until the next would exceed the demand; enough tells that there was one.
-func takeDemand(drawn []workload.Program, engine emulator.Config, available float64) (programs []workload.Program, demand float64, enough bool) {
-	for _, program := range drawn {
+// limitDemand returns the first programs whose demand doesn't exceed maxDemand. It returns true if a
+// program was left out.
+func limitDemand(generated []workload.Program, engine emulator.Config, maxDemand float64) (programs []workload.Program, demand float64, reached bool) {
+	for _, program := range generated {
 		need := Demand(program, engine)
-		if demand+need > available {
+		if demand+need > maxDemand {
 			return programs, demand, true
 		}
 		demand += need
@@ -115,16 +115,16 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// stepSeconds is the time of a step with a full batch and no prefill.
+// stepSeconds is the duration of a decoding step with a full batch and no prefill.
 func stepSeconds(config emulator.Config) float64 {
 	return (config.StepBase + time.Duration(config.MaxBatch-1)*config.StepPerSequence).Seconds()
 }
 
 const charactersPerToken = 4
 
-// Demand is the time that a saturated engine spends on a program if it finds every prefix in its
-// cache: each generated token is a share of a full batch's step, and each new token of a prompt is
-// computed once.
+// Demand is the time in seconds that a saturated engine spends on a program if every prefix is
+// cached: each generated token takes its share of the step of a full batch, and each new token of a
+// prompt is computed once.
 func Demand(program workload.Program, config emulator.Config) float64 {
 	perToken := stepSeconds(config) / float64(config.MaxBatch)
 	demand := float64(len(program.System)/charactersPerToken) * config.PrefillPerToken.Seconds()
@@ -140,7 +140,7 @@
 	return demand
 }
 
-// resources are a tenant, a pool, the policy and a service.
+// resources returns a tenant, a pool, the policy and a service that uses them.
 func resources(file File, policy PolicyEntry) []resource.Resource {
 	slots := policy.Slots
 	if slots == 0 {
@@ -164,8 +164,8 @@
 	}
 }
 
-func runOne(ctx context.Context, file File, policy PolicyEntry, load float64, repeat int) (Sample, error) {
-	programs, demand := programsFor(file, load, repeat)
+func runOnCluster(ctx context.Context, file File, policy PolicyEntry, load float64, repeat int) (Sample, error) {
+	programs, demand := programsForLoad(file, load, repeat)
 	var zones []string
 	for number := range file.Zones {
 		zones = append(zones, fmt.Sprintf("zone-%d", number+1))
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -10,7 +10,7 @@
 	"github.com/mountstile/mountstile/internal/emulator"
 )
 
-// PolicyEntry is one policy under test.
+// PolicyEntry is a policy to compare.
 type PolicyEntry struct {
 	Name   string `yaml:"name"`
 	Filter string `yaml:"filter"`
@@ -18,12 +18,12 @@
 	Rank   string `yaml:"rank"`
 	// Patience is in seconds.
 	Patience string `yaml:"patience"`
-	// Slots of each engine; a large number leaves the waiting to the engines, as placement off the
-	// shelf does.
+	// Slots is the number of slots of each engine. With a large number, calls queue at the engines
+	// instead of at the scheduler, as with an ordinary load balancer. 0 means the default.
 	Slots int `yaml:"slots"`
 }
 
-// File is an experiment.
+// File is the configuration of an experiment.
 type File struct {
 	Name     string `yaml:"name"`
 	Workload string `yaml:"workload"`
@@ -32,32 +32,33 @@
 	Nodes    int    `yaml:"nodes"`
 	Engines  int    `yaml:"engines"`
 	Zones    int    `yaml:"zones"`
-	// Seconds is the span in which programs start.
+	// Seconds is the length of the window in which programs start.
 	Seconds   float64 `yaml:"seconds"`
 	TimeScale float64 `yaml:"timeScale"`
-	// Fault, if set, strikes one engine after the other; only in virtual time.
+	// Fault, if set, is injected into one engine after the other, in virtual time only.
 	Fault *Fault `yaml:"disturbance"`
-	// Virtual is what a run in virtual time does differently.
+	// Virtual overrides the size of a run in virtual time.
 	Virtual *VirtualOverrides `yaml:"virtual"`
-	// Loads are offered load as shares of the engines' capacity; Capacity explains the measure.
+	// Loads are offered loads as fractions of the engines' capacity; see Demand.
 	Loads    []float64       `yaml:"loads"`
 	Engine   emulator.Config `yaml:"engine"`
 	Policies []PolicyEntry   `yaml:"policies"`
 }
 
-// FaultKind is what happens to an engine.
+// FaultKind is a kind of engine fault.
 type FaultKind string
 
 const (
-	// Kill loses the engine with its cache and all that runs on it.
+	// Kill crashes the engine, with the loss of its cache and running requests.
 	Kill FaultKind = "kill"
-	// Hang stops the engine; its connections stay open.
+	// Hang stops the engine without closing its connections.
 	Hang FaultKind = "hang"
-	// Slow multiplies the time of its steps by Factor.
+	// Slow multiplies the duration of the engine's steps by Factor.
 	Slow FaultKind = "slow"
 )
 
-// Fault strikes an engine every IntervalSeconds, the next one each time, for DurationSeconds.
+// Fault is a recurring engine fault. Every IntervalSeconds, it affects the next engine in turn for
+// DurationSeconds.
 type Fault struct {
 	Kind            FaultKind `yaml:"kind"`
 	IntervalSeconds float64   `yaml:"everySeconds"`
@@ -65,19 +66,19 @@
 	Factor          float64   `yaml:"factor"`
 }
 
-func (d Fault) check() string {
+func (f Fault) validate() string {
 	switch {
-	case d.Kind != Kill && d.Kind != Hang && d.Kind != Slow:
-		return "disturbance.kind is kill, hang or slow"
-	case d.IntervalSeconds <= 0 || d.DurationSeconds <= 0:
+	case f.Kind != Kill && f.Kind != Hang && f.Kind != Slow:
+		return "disturbance.kind must be kill, hang or slow"
+	case f.IntervalSeconds <= 0 || f.DurationSeconds <= 0:
 		return "disturbance.everySeconds and lastsSeconds must be above 0"
-	case d.Kind == Slow && d.Factor < 1:
+	case f.Kind == Slow && f.Factor < 1:
 		return "disturbance.factor must be 1 or more"
 	}
 	return ""
 }
 
-// VirtualOverrides is the size of a run in virtual time, which costs no waiting; 0 keeps the file's.
+// VirtualOverrides replace fields of a File for a run in virtual time. Zero values keep the file's.
 type VirtualOverrides struct {
 	Repeats   int       `yaml:"repeats"`
 	Seconds   float64   `yaml:"seconds"`
@@ -85,7 +86,7 @@
 	Loads     []float64 `yaml:"loads"`
 }
 
-// InVirtualTime returns the experiment at its size for virtual time.
+// InVirtualTime returns the experiment with its overrides for virtual time.
 func (f File) InVirtualTime() File {
 	if f.Virtual == nil {
 		return f
@@ -105,7 +106,7 @@
 	return f
 }
 
-// ErrFile means that an experiment file can't be used.
+// ErrFile reports an invalid experiment file.
 type ErrFile struct {
 	Path   string
 	Reason string
@@ -114,11 +115,11 @@
 // Error implements error.
 func (e *ErrFile) Error() string { return e.Path + ": " + e.Reason }
 
-// Load reads an experiment file; unknown fields are refused.
+// Load reads an experiment file. Unknown fields are an error.
 func Load(path string) (File, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, errors.Wrap(err, "reading the experiment")
+		return File{}, errors.Wrap(err, "reading the experiment file")
 	}
 	file := File{Engine: emulator.DefaultConfig(), Seed: 1, Repeats: 2, Nodes: 3, Zones: 3, Engines: 10, Seconds: 10, TimeScale: 0.1, Loads: []float64{0.7}}
 	if err := yaml.NewDecoder(bytes.NewReader(content), yaml.DisallowUnknownField()).Decode(&file); err != nil {
@@ -126,12 +127,12 @@
 	}
 	switch {
 	case file.Workload != "brindleway" && file.Workload != "mapishi":
-		return file, &ErrFile{Path: path, Reason: "workload is brindleway or mapishi"}
+		return file, &ErrFile{Path: path, Reason: "workload must be brindleway or mapishi"}
 	case len(file.Policies) == 0:
-		return file, &ErrFile{Path: path, Reason: "no policies"}
+		return file, &ErrFile{Path: path, Reason: "policies must not be empty"}
 	}
 	if file.Fault != nil {
-		if reason := file.Fault.check(); reason != "" {
+		if reason := file.Fault.validate(); reason != "" {
 			return file, &ErrFile{Path: path, Reason: reason}
 		}
 	}
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -17,22 +17,22 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// plotAll draws the distribution of program latency for each load.
-func plotAll(folder string, file File, samples []Sample) error {
+// plotAll writes a plot of the program latencies for each load.
+func plotAll(dir string, file File, samples []Sample) error {
 	for _, load := range file.Loads {
-		if err := plotLatency(folder, file, samples, load); err != nil {
+		if err := plotLatency(dir, file, samples, load); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func plotLatency(folder string, file File, samples []Sample, load float64) error {
-	picture := plot.New()
-	picture.Title.Text = fmt.Sprintf("%s, load %.2f", file.Name, load)
-	picture.X.Label.Text = "program latency (s)"
-	picture.Y.Label.Text = "share of programs"
-	picture.Legend.Top, picture.Legend.Left = false, false
+func plotLatency(dir string, file File, samples []Sample, load float64) error {
+	chart := plot.New()
+	chart.Title.Text = fmt.Sprintf("%s, load %.2f", file.Name, load)
+	chart.X.Label.Text = "program latency (s)"
+	chart.Y.Label.Text = "share of programs"
+	chart.Legend.Top, chart.Legend.Left = false, false
 	for index, policy := range file.Policies {
 		merged := hdrhistogram.New(1, 3_600_000_000, 3)
 		for _, sample := range samples {
@@ -46,14 +46,14 @@
 		}
 		line.Color = plotutil.Color(index)
 		line.Dashes = plotutil.Dashes(index)
-		picture.Add(line)
-		picture.Legend.Add(policy.Name, line)
+		chart.Add(line)
+		chart.Legend.Add(policy.Name, line)
 	}
-	name := filepath.Join(folder, fmt.Sprintf("latency-%.0f.png", load*100))
-	return errors.Wrap(picture.Save(plotWidth, plotHeight, name), "saving a plot")
+	name := filepath.Join(dir, fmt.Sprintf("latency-%.0f.png", load*100))
+	return errors.Wrap(chart.Save(plotWidth, plotHeight, name), "saving a plot")
 }
 
-// distribution is the share of values at or below each percentile, in seconds.
+// distribution is the cumulative distribution of a histogram of microseconds, in seconds.
 func distribution(histogram *hdrhistogram.Histogram) plotter.XYs {
 	points := make(plotter.XYs, 0, 100)
 	for percent := 1; percent <= 99; percent++ {
--- a/internal/lab/experiment/virtual.go
+++ b/internal/lab/experiment/simulation.go
@@ -25,64 +25,63 @@
 )
 
 const (
-	// pathDelay is what the nodes add to a call; 'mountstile-lab path' measured 1.5 ms at the median.
-	pathDelay = 1500 * time.Microsecond
-	// askDelay is one question to an engine's owner and its answer, between zones.
-	askDelay = time.Millisecond
-	// sweepEvery is how often owners look for places that nobody holds any more.
-	sweepEvery  = 500 * time.Millisecond
-	serviceName = "service"
-	poolName    = "pool"
-	// plenty stands for limits that an experiment does not reach.
-	plenty = 1 << 40
+	// nodeDelay is the latency that the nodes add to a call.
+	nodeDelay = 1500 * time.Microsecond
+	// reserveDelay is a round trip between zones, to the owner of an engine.
+	reserveDelay = time.Millisecond
+	// sweepInterval is how often owners sweep abandoned reservations.
+	sweepInterval = 500 * time.Millisecond
+	serviceName   = "service"
+	poolName      = "pool"
+	// unlimited is a limit that an experiment doesn't reach.
+	unlimited = 1 << 40
 )
 
-// simulation is a runner.Environment in virtual time. It runs the product's program state, scheduler,
-// policies and owners' lines; the network is a fixed delay and engines are the emulator's model.
+// simulation is a runner.Environment in virtual time. It runs the real program state, scheduler,
+// policies and owners' queues, with fixed network delays and the emulator's engine model.
 type simulation struct {
-	clock   *clock.Virtual
-	file    File
-	machine *program.Machine
-	nodes   []*simulatedNode
-	engines map[string]*simulatedEngine
-	order   []string
-	pool    *resource.Pool
-	service *resource.Service
-	rules   *policy.Policy
-	calls   int
-	ended   bool
+	clock       *clock.Virtual
+	file        File
+	machine     *program.Machine
+	nodes       []*simulatedNode
+	engines     map[string]*simulatedEngine
+	engineNames []string
+	pool        *resource.Pool
+	service     *resource.Service
+	rules       *policy.Policy
+	calls       int
+	ended       bool
 }
 
-// simulatedNode is the part of a node that decides: a scheduler, and the lines of the engines that
-// the node owns.
+// simulatedNode is a node's scheduler, and the queues of the engines that the node owns.
 type simulatedNode struct {
 	scheduler *scheduler.Scheduler
-	lines     *owner.Queues
+	queues    *owner.Queues
 }
 
-// runVirtual plays one policy in virtual time.
+// runVirtual runs one policy in virtual time.
 func runVirtual(ctx context.Context, file File, entry PolicyEntry, load float64, repeat int) (Sample, error) {
-	programs, demand := programsFor(file, load, repeat)
-	world, err := newSimulation(file, entry, uint64(repeat))
+	programs, demand := programsForLoad(file, load, repeat)
+	s, err := newSimulation(file, entry, uint64(repeat))
 	if err != nil {
 		return Sample{}, err
 	}
 	sample := Sample{Policy: entry.Name, Load: load, Repeat: repeat, Demand: demand}
-	started := world.clock.Now()
-	world.clock.Run(func() {
-		world.start()
-		sample.Result = runner.RunIn(ctx, world, nil, programs)[file.Workload]
-		sample.Seconds = world.clock.Now().Sub(started).Seconds()
-		world.ended = true
+	started := s.clock.Now()
+	s.clock.Run(func() {
+		s.start()
+		sample.Result = runner.RunIn(ctx, s, nil, programs)[file.Workload]
+		sample.Seconds = s.clock.Now().Sub(started).Seconds()
+		s.ended = true
 	})
-	for _, engine := range world.engines {
+	for _, engine := range s.engines {
 		sample.Cache = sample.Cache.Add(engine.cache())
 	}
 	return sample, nil
 }
 
 func newSimulation(file File, entry PolicyEntry, repeat uint64) (*simulation, error) {
-	// Encoding and decoding fills in the defaults, as publishing does.
+	// Encoding and decoding sets the defaults, as publishing does.
 	content, err := resource.Encode(resources(file, entry))
 	if err != nil {
 		return nil, err
@@ -95,23 +94,23 @@
 	if err != nil {
 		return nil, err
 	}
-	world := &simulation{
+	s := &simulation{
 		clock: clock.NewVirtual(time.Unix(0, 0)), file: file, machine: program.NewMachine(), engines: make(map[string]*simulatedEngine),
 	}
-	world.pool, _ = set.Pool(poolName)
-	world.service, _ = set.Service(serviceName)
+	s.pool, _ = set.Pool(poolName)
+	s.service, _ = set.Service(serviceName)
 	source := resource.Policy{Filter: entry.Filter, Score: entry.Score, Rank: entry.Rank, Patience: entry.Patience}
-	if world.rules, err = policy.Compile(source); err != nil {
+	if s.rules, err = policy.Compile(source); err != nil {
 		return nil, err
 	}
-	for _, engine := range world.pool.Engines {
-		world.engines[engine.Name] = newSimulatedEngine(world.clock, file.Engine)
-		world.order = append(world.order, engine.Name)
+	for _, engine := range s.pool.Engines {
+		s.engines[engine.Name] = newSimulatedEngine(s.clock, file.Engine)
+		s.engineNames = append(s.engineNames, engine.Name)
 	}
 	for number := range file.Nodes {
-		world.nodes = append(world.nodes, world.newNode(number, repeat))
+		s.nodes = append(s.nodes, s.newNode(number, repeat))
 	}
-	return world, nil
+	return s, nil
 }
 
 func (s *simulation) newNode(number int, repeat uint64) *simulatedNode {
@@ -120,7 +119,7 @@
 			Zone: fmt.Sprintf("zone-%d", number%s.file.Zones+1), Reserver: s, Clock: s.clock,
 			Random: rand.New(rand.NewPCG(s.file.Seed+repeat, uint64(number))), Logger: events.Discard(),
 		}),
-		lines: owner.NewQueues(owner.QueuesOptions{Clock: s.clock, FindEngine: s.findEngine, GatewayLost: func(string) bool { return false }, Logger: events.Discard()}),
+		queues: owner.NewQueues(owner.QueuesOptions{Clock: s.clock, FindEngine: s.findEngine, GatewayLost: func(string) bool { return false }, Logger: events.Discard()}),
 	}
 }
 
@@ -133,46 +132,46 @@
 	return resource.Engine{}, false
 }
 
-// start runs the engines, the owners' sweeps, and the failures that the file asks for.
+// start starts the engines, the owners' sweeps, and the fault injection.
 func (s *simulation) start() {
-	for _, name := range s.order {
+	for _, name := range s.engineNames {
 		s.clock.Go(s.engines[name].run)
 	}
 	s.clock.Go(func() {
 		for !s.ended {
-			s.clock.Sleep(sweepEvery)
+			s.clock.Sleep(sweepInterval)
 			for _, node := range s.nodes {
-				node.lines.Sweep()
+				node.queues.Sweep()
 			}
 		}
 	})
 	if s.file.Fault != nil {
-		s.clock.Go(func() { s.disturb(*s.file.Fault) })
+		s.clock.Go(func() { s.injectFaults(*s.file.Fault) })
 	}
 }
 
-// disturb strikes one engine after the other, each for a while.
-func (s *simulation) disturb(disturbance Fault) {
+// injectFaults injects the fault into one engine after the other until the simulation ends.
+func (s *simulation) injectFaults(fault Fault) {
 	for number := 0; !s.ended; number++ {
-		s.clock.Sleep(seconds(disturbance.IntervalSeconds))
-		victim := s.engines[s.order[number%len(s.order)]]
-		victim.strike(disturbance)
+		s.clock.Sleep(seconds(fault.IntervalSeconds))
+		target := s.engines[s.engineNames[number%len(s.engineNames)]]
+		target.applyFault(fault)
 		s.clock.Go(func() {
-			s.clock.Sleep(seconds(disturbance.DurationSeconds))
-			victim.recover()
+			s.clock.Sleep(seconds(fault.DurationSeconds))
+			target.recover()
 		})
 	}
 }
 
-// nodeFor is the node that owns an engine, or leads a program.
+// nodeFor returns the node that owns an engine or leads the partition of a program.
 func (s *simulation) nodeFor(name string) *simulatedNode {
 	return s.nodes[xxhash.Sum64String(name)%uint64(len(s.nodes))]
 }
 
 // Reserve implements scheduler.Reserver.
 func (s *simulation) Reserve(ctx context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
-	s.clock.Sleep(askDelay)
-	return s.nodeFor(engine.Name).lines.Reserve(ctx, request)
+	s.clock.Sleep(reserveDelay)
+	return s.nodeFor(engine.Name).queues.Reserve(ctx, request)
 }
 
 // Now implements runner.Environment.
@@ -188,14 +187,14 @@
 func (s *simulation) Parallel(tasks ...func()) { s.clock.Parallel(tasks...) }
 
 // Tool implements runner.Environment.
-func (s *simulation) Tool(_ context.Context, takes time.Duration) error {
-	s.clock.Sleep(takes)
+func (s *simulation) Tool(_ context.Context, delay time.Duration) error {
+	s.clock.Sleep(delay)
 	return nil
 }
 
-// End implements runner.Environment: engines release what the ended program held.
+// End implements runner.Environment. It also releases the program's caches.
 func (s *simulation) End(_ context.Context, tenant, name string) error {
-	s.clock.Sleep(pathDelay)
+	s.clock.Sleep(nodeDelay)
 	s.machine.Execute(program.Command{At: s.clock.Now().UnixMilli(), End: &program.End{Program: program.Key{Tenant: tenant, Path: name}, Reason: program.EndByCaller}})
 	for _, held := range s.machine.HeldCaches() {
 		s.engines[held.Engine].model.Release(coordinator.CacheID(held.Program))
@@ -207,28 +206,28 @@
 // Chat implements runner.Environment.
 func (s *simulation) Chat(ctx context.Context, tenant string, call runner.Call) (runner.Reply, error) {
 	started := s.clock.Now()
-	s.clock.Sleep(pathDelay)
-	turn, failure := s.admit(tenant, call)
+	s.clock.Sleep(nodeDelay)
+	active, failure := s.admit(tenant, call)
 	if failure != nil {
-		return runner.Reply{}, toFailure(failure)
+		return runner.Reply{}, toErrResponse(failure)
 	}
-	if failure := turn.execute(ctx); failure != nil {
-		return runner.Reply{}, toFailure(failure)
+	if failure := active.execute(ctx); failure != nil {
+		return runner.Reply{}, toErrResponse(failure)
 	}
 	return runner.Reply{
-		Content: turn.answer, CallID: turn.request.Admit.CallID, Engine: turn.engine,
-		FirstTokenLatency: turn.firstToken.Sub(started), Latency: s.clock.Now().Sub(started),
+		Content: active.answer, CallID: active.request.Admit.CallID, Engine: active.engine,
+		FirstTokenLatency: active.firstToken.Sub(started), Latency: s.clock.Now().Sub(started),
 	}, nil
 }
 
-func toFailure(failure *apierr.Error) *runner.ErrResponse {
+func toErrResponse(failure *apierr.Error) *runner.ErrResponse {
 	return &runner.ErrResponse{
 		Status: failure.HTTPStatus(), Code: string(failure.Code), Outcome: string(failure.Outcome), Message: failure.Message,
 		RetryAfter: time.Duration(failure.RetryAfter) * time.Millisecond,
 	}
 }
 
-// newMessages are those after the last answer; the program state has the others.
+// newMessages returns the messages after the last answer. The program state has the earlier ones.
 func newMessages(messages []runner.Message) ([]program.Message, error) {
 	first := 0
 	for index, message := range messages {
@@ -236,19 +235,19 @@
 			first = index + 1
 		}
 	}
-	var added []program.Message
+	var encodedMessages []program.Message
 	for _, message := range messages[first:] {
 		encoded, err := json.Marshal(message)
 		if err != nil {
 			return nil, err
 		}
-		added = append(added, encoded)
+		encodedMessages = append(encodedMessages, encoded)
 	}
-	return added, nil
+	return encodedMessages, nil
 }
 
-// admit books a call at the program state.
-func (s *simulation) admit(tenant string, call runner.Call) (*simulatedTurn, *apierr.Error) {
+// admit admits a call to the program state.
+func (s *simulation) admit(tenant string, call runner.Call) (*simulatedCall, *apierr.Error) {
 	var text strings.Builder
 	for _, message := range call.Messages {
 		text.WriteString(emulator.Flatten(message.Role, message.Content))
@@ -262,7 +261,7 @@
 		Admit: program.Admit{
 			CallID: fmt.Sprintf("call-%d", s.calls), Program: program.Key{Tenant: tenant, Path: call.Program}, Service: serviceName, Model: call.Model,
 			Sequence: uint64(call.Sequence), IdempotencyKey: call.IdempotencyKey, Repeatable: true, Messages: added,
-			Limits: program.Limits{TokenBudget: plenty, CallBudget: plenty, IdleMillis: plenty, MaxMillis: plenty},
+			Limits: program.Limits{TokenBudget: unlimited, CallBudget: unlimited, IdleMillis: unlimited, MaxMillis: unlimited},
 		},
 		PromptTokens: int64(text.Len() / charactersPerToken), MaxTokens: int64(call.Tokens),
 	}
@@ -270,7 +269,7 @@
 	if result.Error != nil {
 		return nil, result.Error
 	}
-	return &simulatedTurn{world: s, request: request, call: result.Call, prompt: text.String(), answer: emulator.AnswerText(text.String(), call.Tokens), tokens: call.Tokens}, nil
+	return &simulatedCall{environment: s, request: request, call: result.Call, prompt: text.String(), answer: emulator.AnswerText(text.String(), call.Tokens), tokens: call.Tokens}, nil
 }
 
 func (s *simulation) execute(command program.Command) program.Result {
--- a/internal/lab/experiment/virtual_test.go
+++ b/internal/lab/experiment/simulation_test.go
@@ -12,33 +12,34 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// play runs a committed experiment in virtual time, with one repeat and programs that start within
-// span seconds. It gives the same figures on every machine and run.
-func play(t *testing.T, name string, load, span float64, policies ...string) map[string]PolicySummary {
+// runVirtualExperiment runs one repeat of an experiment file in virtual time, at one load and with
+// programs that start within span seconds. The result is deterministic.
+func runVirtualExperiment(t *testing.T, name string, load, span float64, policies ...string) map[string]PolicySummary {
 	t.Helper()
 	file, err := Load(filepath.Join("../../../experiments", name))
 	assert.NilError(t, err)
 	file = file.InVirtualTime()
 	file.Repeats, file.Seconds, file.Loads = 1, span, []float64{load}
-	var kept []PolicyEntry
+	var selected []PolicyEntry
 	for _, entry := range file.Policies {
 		for _, wanted := range policies {
 			if entry.Name == wanted {
-				kept = append(kept, entry)
+				selected = append(selected, entry)
 			}
 		}
 	}
-	file.Policies = kept
+	file.Policies = selected
 	samples, err := RunVirtual(context.Background(), file, io.Discard)
 	assert.NilError(t, err)
 	return Summarize(file, samples).Policies
 }
 
-// TestAimsAreMet holds the policies to what the users asked for, at nearly full load.
+// TestAimsAreMet compares the tenants' policies with the baselines at nearly full load. The factors are
+// the tenants' requirements.
 func TestAimsAreMet(t *testing.T) {
 	t.Run("brindleway", func(t *testing.T) {
 		t.Parallel()
-		rows := play(t, "brindleway.yaml", 0.95, 60, "round-robin", "least-loaded", "prefix-affinity", "brindleway-latency")
+		rows := runVirtualExperiment(t, "brindleway.yaml", 0.95, 60, "round-robin", "least-loaded", "prefix-affinity", "brindleway-latency")
 		own := rows["brindleway-latency"].ProgramLatency.P95
 		assert.Assert(t, own <= 0.6*rows["round-robin"].ProgramLatency.P95, "%+v", rows)
 		assert.Assert(t, own <= 0.8*rows["least-loaded"].ProgramLatency.P95, "%+v", rows)
@@ -46,7 +47,7 @@
 	})
 	t.Run("mapishi", func(t *testing.T) {
 		t.Parallel()
-		rows := play(t, "mapishi.yaml", 0.95, 60, "round-robin", "least-loaded", "prefix-affinity", "mapishi-cache")
+		rows := runVirtualExperiment(t, "mapishi.yaml", 0.95, 60, "round-robin", "least-loaded", "prefix-affinity", "mapishi-cache")
 		own := rows["mapishi-cache"]
 		assert.Assert(t, own.WastedCacheFraction <= 0.4*rows["round-robin"].WastedCacheFraction, "%+v", rows)
 		assert.Assert(t, own.WastedCacheFraction <= 0.6*rows["least-loaded"].WastedCacheFraction, "%+v", rows)
@@ -55,8 +56,8 @@
 	})
 }
 
-// TestDisturbedEnginesLoseNoProgram while one of ten after the other is lost, or hangs.
-func TestDisturbedEnginesLoseNoProgram(t *testing.T) {
+// TestEngineFaultsFailNoProgram crashes or hangs one engine after the other. All programs must complete.
+func TestEngineFaultsFailNoProgram(t *testing.T) {
 	cases := map[string]struct{ load, span float64 }{
 		"failures.yaml": {0.95, 50},
 		"hang.yaml":     {0.7, 30},
@@ -64,29 +65,31 @@
 	for name, item := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			row := play(t, name, item.load, item.span, "brindleway-latency")["brindleway-latency"]
+			row := runVirtualExperiment(t, name, item.load, item.span, "brindleway-latency")["brindleway-latency"]
 			assert.Assert(t, row.Programs > 100)
 			assert.Equal(t, row.Completed, row.Programs)
 		})
 	}
 }
 
-// TestSlowEnginesAreLeft while one of ten after the other is five times slower.
-func TestSlowEnginesAreLeft(t *testing.T) {
+// TestSlowEnginesAreAvoided slows down one engine after the other, and compares a policy that takes
+// slowness into account with one that doesn't.
+func TestSlowEnginesAreAvoided(t *testing.T) {
 	t.Parallel()
-	rows := play(t, "slow.yaml", 0.7, 60, "brindleway-latency", "without-slowness")
+	rows := runVirtualExperiment(t, "slow.yaml", 0.7, 60, "brindleway-latency", "without-slowness")
 	assert.Assert(t, rows["brindleway-latency"].ProgramLatency.P95 <= 0.9*rows["without-slowness"].ProgramLatency.P95, "%+v", rows)
 }
 
-// TestVirtualTimeIsRepeatable also with engines lost: the same seed gives the same figures.
-func TestVirtualTimeIsRepeatable(t *testing.T) {
+// TestVirtualTimeIsDeterministic runs an experiment with engine crashes twice with the same seed.
+func TestVirtualTimeIsDeterministic(t *testing.T) {
 	t.Parallel()
-	first := play(t, "failures.yaml", 0.95, 25, "brindleway-latency")
-	assert.DeepEqual(t, play(t, "failures.yaml", 0.95, 25, "brindleway-latency"), first)
+	first := runVirtualExperiment(t, "failures.yaml", 0.95, 25, "brindleway-latency")
+	assert.DeepEqual(t, runVirtualExperiment(t, "failures.yaml", 0.95, 25, "brindleway-latency"), first)
 }
 
-// TestExperimentsPlayTheExamples: what is measured is what operators are shown.
-func TestExperimentsPlayTheExamples(t *testing.T) {
+// TestExperimentsUseExamplePolicies guards against a difference between the policies in the examples
+// and those in the experiments.
+func TestExperimentsUseExamplePolicies(t *testing.T) {
 	for name, file := range map[string]string{"brindleway-latency": "brindleway.yaml", "mapishi-cache": "mapishi.yaml"} {
 		experiment, err := Load(filepath.Join("../../../experiments", file))
 		assert.NilError(t, err)
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -12,17 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Quantiles are milliseconds.
+// Quantiles are latencies in milliseconds over all repeats.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
-	// P95Low and P95High are the lowest and highest p95 over the repeats.
+	// P95Low and P95High are the lowest and highest p95 of single repeats.
 	P95Low  float64 `json:"p95_low"`
 	P95High float64 `json:"p95_high"`
 }
 
-// PolicySummary is one policy at one load, over all repeats. The field names are stable.
+// PolicySummary is the result of a policy at one load, over all repeats. Scripts read it, so the JSON
+// field names are stable.
 type PolicySummary struct {
 	ProgramLatency      Quantiles `json:"program_latency_ms"`
 	TurnLatency         Quantiles `json:"turn_latency_ms"`
@@ -31,23 +32,23 @@
 	WastedLow           float64   `json:"wasted_cache_fraction_low"`
 	WastedHigh          float64   `json:"wasted_cache_fraction_high"`
 	CacheHitFraction    float64   `json:"cache_hit_fraction"`
-	// GoodputPerSecond counts programs that finished.
+	// GoodputPerSecond is the rate of completed programs.
 	GoodputPerSecond float64 `json:"goodput_programs_per_s"`
 	Programs         int64   `json:"programs"`
 	Completed        int64   `json:"completed"`
 	Failed           int64   `json:"failed"`
 	Retries          int64   `json:"refused"`
-	// FairnessIndex is Jain's index over the programs' latencies per call: 1 if all are equal.
+	// FairnessIndex is Jain's fairness index of the turn latencies; it is 1 if all are equal.
 	FairnessIndex float64 `json:"fairness_index"`
 }
 
-// LoadSummary is one offered load.
+// LoadSummary holds the results at one offered load by policy.
 type LoadSummary struct {
 	Load     float64                  `json:"load"`
 	Policies map[string]PolicySummary `json:"policies"`
 }
 
-// Summary is summary.json. Policies holds the highest load, for scripts that look at one.
+// Summary is the content of summary.json. Policies holds the results at the last of the loads.
 type Summary struct {
 	Name     string                   `json:"name"`
 	Workload string                   `json:"workload"`
@@ -60,24 +61,24 @@
 	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// Summarize merges the repeats of each policy and load.
+// Summarize merges the samples of each policy and load.
 func Summarize(file File, samples []Sample) Summary {
 	summary := Summary{Name: file.Name, Workload: file.Workload, Repeats: file.Repeats}
 	for _, load := range file.Loads {
-		part := LoadSummary{Load: load, Policies: make(map[string]PolicySummary)}
+		loadSummary := LoadSummary{Load: load, Policies: make(map[string]PolicySummary)}
 		for _, policy := range file.Policies {
-			var own []Sample
+			var matching []Sample
 			for _, sample := range samples {
 				if sample.Policy == policy.Name && sample.Load == load {
-					own = append(own, sample)
+					matching = append(matching, sample)
 				}
 			}
-			if len(own) > 0 {
-				part.Policies[policy.Name] = summarizePolicy(own)
+			if len(matching) > 0 {
+				loadSummary.Policies[policy.Name] = summarizePolicy(matching)
 			}
 		}
-		summary.Loads = append(summary.Loads, part)
-		summary.Policies = part.Policies
+		summary.Loads = append(summary.Loads, loadSummary)
+		summary.Policies = loadSummary.Policies
 	}
 	return summary
 }
@@ -114,7 +115,7 @@
 	result.WastedCacheFraction = cache.WastedFraction()
 	result.CacheHitFraction = float64(cache.Hits) / math.Max(1, float64(cache.Hits+cache.Misses))
 	result.GoodputPerSecond = float64(result.Completed) / seconds
-	result.FairnessIndex = jain(turn)
+	result.FairnessIndex = jainIndex(turn)
 	return result
 }
 
@@ -122,8 +123,8 @@
 	return Quantiles{P50: milliseconds(histogram, 50), P95: milliseconds(histogram, 95), P99: milliseconds(histogram, 99)}
 }
 
-// jain is Jain's fairness index of the recorded values.
-func jain(histogram *hdrhistogram.Histogram) float64 {
+// jainIndex is Jain's fairness index of the recorded values.
+func jainIndex(histogram *hdrhistogram.Histogram) float64 {
 	mean, deviation := histogram.Mean(), histogram.StdDev()
 	if mean == 0 {
 		return 1
@@ -131,28 +132,28 @@
 	return mean * mean / (mean*mean + deviation*deviation)
 }
 
-const folderMode = 0o755
+const dirMode = 0o755
 
-// Write puts summary.json, report.md and the plots into a folder.
-func Write(folder string, file File, samples []Sample) (Summary, error) {
-	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return Summary{}, errors.Wrap(err, "making the folder")
+// Write writes summary.json, report.md and the plots to a directory, which it creates if necessary.
+func Write(dir string, file File, samples []Sample) (Summary, error) {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
+		return Summary{}, errors.Wrap(err, "creating the output directory")
 	}
 	summary := Summarize(file, samples)
 	encoded, err := json.MarshalIndent(summary, "", "  ")
 	if err != nil {
 		return summary, errors.Wrap(err, "encoding the summary")
 	}
-	if err := os.WriteFile(filepath.Join(folder, "summary.json"), append(encoded, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "summary.json"), append(encoded, '\n'), 0o644); err != nil {
 		return summary, errors.Wrap(err, "writing the summary")
 	}
-	if err := os.WriteFile(filepath.Join(folder, "report.md"), []byte(Report(file, summary)), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "report.md"), []byte(Report(file, summary)), 0o644); err != nil {
 		return summary, errors.Wrap(err, "writing the report")
 	}
-	return summary, plotAll(folder, file, samples)
+	return summary, plotAll(dir, file, samples)
 }
 
-// Report is a Markdown table for each load, with ratios to the baselines.
+// Report formats a Markdown table for each load, with ratios to the baseline policies.
 func Report(file File, summary Summary) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# %s\n\n%d nodes, %d engines, %d repeats; programs start within %.0f s. Latencies in ms; p95 with its range over the repeats.\n",
