--- a/cmd/mountstile-lab/experiment.go
+++ b/cmd/mountstile-lab/experiment.go
@@ -29,7 +29,7 @@
 	if c.Repeats > 0 {
 		file.Repeats = c.Repeats
 	}
-	ctx, cancel := interruptible()
+	ctx, cancel := signalContext()
 	defer cancel()
 	samples, err := run(ctx, file, os.Stderr)
 	if err != nil {
--- a/cmd/mountstile-lab/main.go
+++ b/cmd/mountstile-lab/main.go
@@ -1,5 +1,5 @@
-// Command mountstile-lab is the project's own bench: emulated engines and stand-ins for the
-// platform, the demo, experiments, and measurements.
+// Command mountstile-lab runs the development tools: emulated engines, stand-ins for platform
+// services, the demo, experiments, and benchmarks.
 package main
 
 import (
@@ -76,40 +76,41 @@
 	}
 }
 
-// interruptible ends with SIGINT or SIGTERM.
-func interruptible() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled by SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
 type demoCommand struct {
-	Folder   string `long:"examples" default:"examples" description:"folder of the example configurations"`
-	Programs int    `long:"programs" default:"60" description:"programs of each user"`
-	Seed     uint64 `long:"seed" default:"1" description:"seed of the workload"`
-	Stay     bool   `long:"stay" description:"keep the system up afterwards"`
-	Logs     bool   `long:"logs" description:"print the nodes' logs to standard error"`
+	ExamplesDir string `long:"examples" default:"examples" description:"folder of the example configurations"`
+	Programs    int    `long:"programs" default:"60" description:"programs of each user"`
+	Seed        uint64 `long:"seed" default:"1" description:"seed of the workload"`
+	KeepRunning bool   `long:"stay" description:"keep the system up afterwards"`
+	NodeLogs    bool   `long:"logs" description:"print the nodes' logs to standard error"`
 }
 
 // Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
-	ctx, cancel := interruptible()
+	ctx, cancel := signalContext()
 	defer cancel()
-	return demo.Run(ctx, demo.Options{ExamplesDir: c.Folder, Programs: c.Programs, Seed: c.Seed, Output: os.Stdout, KeepRunning: c.Stay, NodeLogs: c.Logs})
+	return demo.Run(ctx, demo.Options{ExamplesDir: c.ExamplesDir, Programs: c.Programs, Seed: c.Seed, Output: os.Stdout, KeepRunning: c.KeepRunning, NodeLogs: c.NodeLogs})
 }
 
-// serving is what all stand-ins share.
-type serving struct {
+// listenOptions are the options of all commands that serve HTTP.
+type listenOptions struct {
 	Listen string `long:"listen" default:"127.0.0.1:0" description:"loopback address to listen on"`
 }
 
-// errNotLoopback refuses to serve beyond this machine.
+// errNotLoopback reports a listen address that other machines could reach.
 type errNotLoopback struct{ Address string }
 
 // Error implements error.
 func (e *errNotLoopback) Error() string { return e.Address + " is not a loopback address" }
 
-// serve runs a stand-in until it is interrupted.
-func (s serving) serve(name string, handler http.Handler, background func(context.Context)) error {
-	ctx, cancel := interruptible()
+// serve serves HTTP on a loopback address until SIGINT or SIGTERM. It runs background, if set, with
+// a context that is cancelled then.
+func (s listenOptions) serve(name string, handler http.Handler, background func(context.Context)) error {
+	ctx, cancel := signalContext()
 	defer cancel()
 	listener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -134,7 +135,7 @@
 }
 
 type engineCommand struct {
-	serving
+	listenOptions
 	CacheBlocks int           `long:"cache-blocks" default:"8192" description:"size of the prefix cache, in blocks of 16 tokens"`
 	MaxBatch    int           `long:"max-batch" default:"16" description:"sequences that run at once"`
 	StepBase    time.Duration `long:"step" default:"3ms" description:"time of a step with one sequence"`
@@ -148,27 +149,27 @@
 	return c.serve("engine", server, server.Run)
 }
 
-type applicationCommand struct{ serving }
+type applicationCommand struct{ listenOptions }
 
 // Execute implements flags.Commander.
 func (c *applicationCommand) Execute([]string) error {
 	return c.serve("application", &emulator.Application{}, nil)
 }
 
-type storeCommand struct{ serving }
+type storeCommand struct{ listenOptions }
 
 // Execute implements flags.Commander.
 func (c *storeCommand) Execute([]string) error {
 	return c.serve("configuration store", storeserver.New(), nil)
 }
 
-type toolsCommand struct{ serving }
+type toolsCommand struct{ listenOptions }
 
 // Execute implements flags.Commander.
 func (c *toolsCommand) Execute([]string) error { return c.serve("tools", toolserver.New(), nil) }
 
 type machinesCommand struct {
-	serving
+	listenOptions
 	Lag time.Duration `long:"lag" default:"10s" description:"how far the list lags"`
 }
 
@@ -178,7 +179,7 @@
 }
 
 type weightsCommand struct {
-	serving
+	listenOptions
 	Size int64 `long:"size" default:"1048576" description:"bytes of each model"`
 	Rate int64 `long:"rate" default:"1048576" description:"bytes a second that all readers share"`
 }
--- a/cmd/mountstile-lab/path.go
+++ b/cmd/mountstile-lab/path.go
@@ -20,16 +20,16 @@
 
 // Execute implements flags.Commander.
 func (c *pathCommand) Execute([]string) error {
-	ctx, cancel := interruptible()
+	ctx, cancel := signalContext()
 	defer cancel()
 	if c.Profile != "" {
 		file, err := os.Create(c.Profile)
 		if err != nil {
-			return errors.Wrap(err, "creating the profile")
+			return errors.Wrap(err, "creating the CPU profile")
 		}
 		defer func() { _ = file.Close() }()
 		if err := pprof.StartCPUProfile(file); err != nil {
-			return errors.Wrap(err, "profiling")
+			return errors.Wrap(err, "starting the CPU profile")
 		}
 		defer pprof.StopCPUProfile()
 	}
@@ -39,5 +39,5 @@
 	}
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(report), "printing")
+	return errors.Wrap(encoder.Encode(report), "encoding the report")
 }
--- a/cmd/mountstile-lab/simulate.go
+++ b/cmd/mountstile-lab/simulate.go
@@ -16,13 +16,15 @@
 	Faults string `long:"faults" default:"all" description:"kinds of fault: drop,delay,duplicate,partition,pause,crash,transfer,members,compact"`
 }
 
-// errSeedsFailed means that seeds broke a promise.
+// errSeedsFailed reports how many seeds violated an invariant.
 type errSeedsFailed struct{ Count int }
 
 // Error implements error.
-func (e *errSeedsFailed) Error() string { return fmt.Sprintf("%d seeds broke a promise", e.Count) }
+func (e *errSeedsFailed) Error() string {
+	return fmt.Sprintf("%d seeds violated an invariant", e.Count)
+}
 
-const progressEvery = 500
+const seedsPerProgressLine = 500
 
 // Execute implements flags.Commander.
 func (c *simulateCommand) Execute([]string) error {
@@ -46,7 +48,7 @@
 				mutex.Lock()
 				total = total.Add(report)
 				done++
-				if done%progressEvery == 0 {
+				if done%seedsPerProgressLine == 0 {
 					fmt.Printf("%d of %d seeds\n", done, c.Seeds)
 				}
 				if violation != nil {
--- a/cmd/mountstile-lab/state.go
+++ b/cmd/mountstile-lab/state.go
@@ -19,7 +19,7 @@
 
 // Execute implements flags.Commander.
 func (c *stateCommand) Execute([]string) error {
-	ctx, cancel := interruptible()
+	ctx, cancel := signalContext()
 	defer cancel()
 	report, err := statebench.Run(ctx, statebench.Options{
 		Seconds: c.Seconds, Failovers: c.Failovers, Programs: c.Programs,
@@ -32,5 +32,5 @@
 	}
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(report), "printing")
+	return errors.Wrap(encoder.Encode(report), "encoding the report")
 }
--- a/cmd/mountstile-lab/torture.go
+++ b/cmd/mountstile-lab/torture.go
@@ -20,15 +20,15 @@
 	JSON     bool          `long:"json" description:"print the report as JSON"`
 }
 
-// errPromisesBroken means that violations were found.
-type errPromisesBroken struct{ Count int }
+// errViolations reports how many violations of invariants were found.
+type errViolations struct{ Count int }
 
 // Error implements error.
-func (e *errPromisesBroken) Error() string { return fmt.Sprintf("%d promises broken", e.Count) }
+func (e *errViolations) Error() string { return fmt.Sprintf("%d invariant violations", e.Count) }
 
 // Execute implements flags.Commander.
 func (c *tortureCommand) Execute([]string) error {
-	ctx, cancel := interruptible()
+	ctx, cancel := signalContext()
 	defer cancel()
 	report, err := torture.Run(ctx, torture.Options{
 		Duration: c.Duration, Seed: c.Seed, Nodes: c.Nodes, Engines: c.Engines, Callers: c.Callers,
@@ -43,13 +43,13 @@
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(report); err != nil {
-			return errors.Wrap(err, "printing")
+			return errors.Wrap(err, "encoding the report")
 		}
 	} else {
 		fmt.Printf("%+v\n", report)
 	}
 	if report.Violations.Total() > 0 {
-		return &errPromisesBroken{Count: report.Violations.Total()}
+		return &errViolations{Count: report.Violations.Total()}
 	}
 	return nil
 }
