--- a/test/path/models_test.go
+++ b/test/path/models_test.go
@@ -127,7 +127,7 @@
 	for number := range callers {
 		generator.tasks.Go(func() {
 			for count := 0; !generator.stopped.Load(); count++ {
-				addresses := system.APIs()
+				addresses := system.APIURLs()
 				request := newCall("", 0, userMessage(fmt.Sprintf("%s %d %d", model, number, count)))
 				request.Model, request.Tokens = model, 60
 				if _, err := client.Chat(t.Context(), addresses[(number+count)%len(addresses)], request); err != nil {
@@ -338,7 +338,7 @@
 	defer client.Close()
 	request := newCall("", 0, userMessage("is anybody there?"))
 	request.Model = "large"
-	mustChat(t, client, system.APIs()[0], request)
+	mustChat(t, client, system.APIURLs()[0], request)
 	for _, model := range []string{"small", "large"} {
 		waitForModel(t, system, model, 1)
 	}
@@ -357,14 +357,14 @@
 	defer client.Close()
 	request := newCall("pupil", 1, userMessage("which model?"))
 	request.Model, request.IdempotencyKey = "small", "key"
-	_, err := client.Chat(t.Context(), system.APIs()[0], request)
+	_, err := client.Chat(t.Context(), system.APIURLs()[0], request)
 	failure := requireFailure(t, err)
 	assert.Equal(t, failure.Code, string(apierr.NoEngine))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
 	assert.Assert(t, failure.RetryAfter > 0)
 	serveWeights(t, weights.Listener.Addr().String())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, err := client.Chat(t.Context(), system.APIs()[0], request); err != nil {
+		if _, err := client.Chat(t.Context(), system.APIURLs()[0], request); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -63,7 +63,7 @@
 }
 
 func newOpenAIClient(system *cluster.Cluster, node int, key string) openai.Client {
-	return openai.NewClient(option.WithBaseURL(system.APIs()[node]+"/v1"), option.WithAPIKey(key))
+	return openai.NewClient(option.WithBaseURL(system.APIURLs()[node]+"/v1"), option.WithAPIKey(key))
 }
 
 func chatParams(text string) openai.ChatCompletionNewParams {
@@ -128,7 +128,7 @@
 
 func post(t *testing.T, system *cluster.Cluster, path, body string, header map[string]string) (*http.Response, string) {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIs()[0]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, system.APIURLs()[0]+path, strings.NewReader(body))
 	assert.NilError(t, err)
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	for name, value := range header {
@@ -155,9 +155,9 @@
 	return reply
 }
 
-func requireFailure(t *testing.T, err error) *runner.Failure {
+func requireFailure(t *testing.T, err error) *runner.ErrResponse {
 	t.Helper()
-	var failure *runner.Failure
+	var failure *runner.ErrResponse
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	return failure
 }
@@ -168,7 +168,7 @@
 	system := startCluster(t, 2)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	nodes := system.APIs()
+	nodes := system.APIURLs()
 	first := mustChat(t, client, nodes[0], newCall("p", 1, userMessage("one")))
 	answer := runner.Message{Role: "assistant", Content: first.Content}
 	second := mustChat(t, client, nodes[1], newCall("p", 2, userMessage("one"), answer, userMessage("two")))
@@ -212,7 +212,7 @@
 		request := newCall("chain", sequence, userMessage(fmt.Sprintf("call %d", sequence)))
 		request.DeltaHistory = true
 		tasks.Go(func() {
-			_, failures[sequence-1] = client.Chat(t.Context(), system.APIs()[sequence%3], request)
+			_, failures[sequence-1] = client.Chat(t.Context(), system.APIURLs()[sequence%3], request)
 		})
 	}
 	tasks.Wait()
@@ -229,7 +229,7 @@
 	system := startCluster(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	_, err := client.Chat(t.Context(), system.APIs()[0], newCall("gap", 2, userMessage("x")))
+	_, err := client.Chat(t.Context(), system.APIURLs()[0], newCall("gap", 2, userMessage("x")))
 	failure := requireFailure(t, err)
 	assert.Equal(t, failure.Code, string(apierr.SequenceGap))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
@@ -247,14 +247,14 @@
 	for agent := range 40 {
 		tasks.Go(func() {
 			request := newCall(fmt.Sprintf("feast/agent-%d", agent), 1, userMessage(strings.Repeat("x", 1500)))
-			_, err := client.Chat(t.Context(), system.APIs()[agent%3], request)
+			_, err := client.Chat(t.Context(), system.APIURLs()[agent%3], request)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err == nil {
 				served++
 				return
 			}
-			var failure *runner.Failure
+			var failure *runner.ErrResponse
 			if errors.As(err, &failure) && failure.Code == string(apierr.BudgetExceeded) && failure.Outcome == string(apierr.NotRun) {
 				refused++
 			}
@@ -286,7 +286,7 @@
 			resumed := 0
 			for number := range 12 {
 				text := fmt.Sprintf("question %d", number)
-				reply := mustChat(t, client, system.APIs()[number%3], newCall("", 0, userMessage(text)))
+				reply := mustChat(t, client, system.APIURLs()[number%3], newCall("", 0, userMessage(text)))
 				expected := emulator.ExpectedAnswer([]json.RawMessage{json.RawMessage(fmt.Sprintf(`{"role":"user","content":%q}`, text))}, 20)
 				assert.Equal(t, reply.Content, expected)
 			}
@@ -344,10 +344,10 @@
 	defer client.Close()
 	engine := system.Engines["m1"]
 	engine.SetFaults(emulator.Faults{RefuseReleases: true})
-	mustChat(t, client, system.APIs()[0], newCall("meal", 1, userMessage(strings.Repeat("tomatoes ", 200))))
+	mustChat(t, client, system.APIURLs()[0], newCall("meal", 1, userMessage(strings.Repeat("tomatoes ", 200))))
 	assert.Assert(t, engine.Held("school:meal") > 0)
-	assert.NilError(t, client.End(t.Context(), system.APIs()[1], "meal"))
-	_, err := client.Chat(t.Context(), system.APIs()[2], newCall("meal", 2, userMessage("more")))
+	assert.NilError(t, client.End(t.Context(), system.APIURLs()[1], "meal"))
+	_, err := client.Chat(t.Context(), system.APIURLs()[2], newCall("meal", 2, userMessage("more")))
 	assert.Equal(t, requireFailure(t, err).Code, string(apierr.ProgramEnded))
 	assert.Assert(t, engine.Held("school:meal") > 0)
 	engine.SetFaults(emulator.Faults{})
@@ -364,9 +364,9 @@
 	system := startCluster(t, 1)
 	client := runner.NewClient(apiKey)
 	defer client.Close()
-	mustChat(t, client, system.APIs()[0], newCall("private", 1, userMessage("secret")))
+	mustChat(t, client, system.APIURLs()[0], newCall("private", 1, userMessage("secret")))
 	for _, path := range []string{"private", "school:private", "../school/private", "school%2Fprivate"} {
-		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, system.APIs()[0]+"/v1/programs/"+path+"?history=true", nil)
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, system.APIURLs()[0]+"/v1/programs/"+path+"?history=true", nil)
 		assert.NilError(t, err)
 		request.Header.Set("Authorization", "Bearer other.k."+secret)
 		response, err := http.DefaultClient.Do(request)
@@ -391,7 +391,7 @@
 	assert.NilError(t, system.Admin.WaitInForce(ctx, result.Revision))
 	before := len(system.Engines["m1"].Ledger())
 	for number := range 10 {
-		mustChat(t, client, system.APIs()[number%3], newCall("", 0, userMessage(fmt.Sprintf("q%d", number))))
+		mustChat(t, client, system.APIURLs()[number%3], newCall("", 0, userMessage(fmt.Sprintf("q%d", number))))
 	}
 	assert.Equal(t, len(system.Engines["m1"].Ledger()), before)
 	assert.Equal(t, len(system.Engines["m2"].Ledger()), 10)
@@ -416,7 +416,7 @@
 	hangCtx, release := context.WithCancel(t.Context())
 	var tasks sync.WaitGroup
 	for number := range 4 {
-		tasks.Go(func() { _, _ = client.Chat(hangCtx, system.APIs()[number%3], newCall("", 0, userMessage("hang"))) })
+		tasks.Go(func() { _, _ = client.Chat(hangCtx, system.APIURLs()[number%3], newCall("", 0, userMessage("hang"))) })
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if len(system.Engines["m1"].Ledger()) == 4 {
@@ -424,7 +424,7 @@
 		}
 		return poll.Continue("the engine still has free slots")
 	}, poll.WithTimeout(waitTimeout))
-	_, err = client.Chat(t.Context(), system.APIs()[0], newCall("", 0, userMessage("late")))
+	_, err = client.Chat(t.Context(), system.APIURLs()[0], newCall("", 0, userMessage("late")))
 	failure := requireFailure(t, err)
 	assert.Equal(t, failure.Code, string(apierr.Overloaded))
 	assert.Equal(t, failure.Outcome, string(apierr.NotRun))
@@ -455,8 +455,8 @@
 	var tasks sync.WaitGroup
 	for number := range 12 {
 		tasks.Go(func() {
-			_, err := client.Chat(hangCtx, system.APIs()[number%3], newCall("", 0, userMessage(fmt.Sprint(number))))
-			var failure *runner.Failure
+			_, err := client.Chat(hangCtx, system.APIURLs()[number%3], newCall("", 0, userMessage(fmt.Sprint(number))))
+			var failure *runner.ErrResponse
 			if errors.As(err, &failure) && failure.Code == string(apierr.LimitExceeded) && failure.Outcome == string(apierr.NotRun) && failure.RetryAfter > 0 {
 				mutex.Lock()
 				refused++
@@ -479,7 +479,7 @@
 		engine.SetFaults(emulator.Faults{})
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, err := client.Chat(t.Context(), system.APIs()[0], newCall("", 0, userMessage("after"))); err != nil {
+		if _, err := client.Chat(t.Context(), system.APIURLs()[0], newCall("", 0, userMessage("after"))); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
--- a/test/path/queue_test.go
+++ b/test/path/queue_test.go
@@ -48,7 +48,7 @@
 	var remaining, cancelled sync.WaitGroup
 	send := func(ctx context.Context, number int, group *sync.WaitGroup) {
 		group.Go(func() {
-			_, err := client.Chat(ctx, system.APIs()[number%3], newCall("", 0, userMessage(fmt.Sprintf("call %d", number))))
+			_, err := client.Chat(ctx, system.APIURLs()[number%3], newCall("", 0, userMessage(fmt.Sprintf("call %d", number))))
 			assert.Check(t, err == nil || ctx.Err() != nil, "%v", err)
 		})
 	}
--- a/test/path/stall_test.go
+++ b/test/path/stall_test.go
@@ -39,7 +39,7 @@
 		request := newCall("", 0, userMessage(fmt.Sprintf("question %d", number)))
 		request.Tokens = 100
 		go func() {
-			reply, err := client.Chat(t.Context(), system.APIs()[number%3], request)
+			reply, err := client.Chat(t.Context(), system.APIURLs()[number%3], request)
 			outcomes <- outcome{reply, err}
 		}()
 	}
