--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -21,8 +21,8 @@
 	maxResponseEntries = 200
 	// followTimeout bounds a request, including its hold time.
 	followTimeout = longPollWait + time.Second
-	// detourDelay is how long a peer may send nothing before a request is also routed through other nodes.
-	detourDelay = longPollWait + 200*time.Millisecond
+	// relayDelay is how long a peer may send nothing before a request is also routed through other nodes.
+	relayDelay = longPollWait + 200*time.Millisecond
 	// minFollowBackoff is the backoff after a failed request. It doubles with each further failure up to maxFollowBackoff,
 	// and starts short because a gateway serves nothing before it reaches a replica after a restart.
 	minFollowBackoff = 40 * time.Millisecond
@@ -125,7 +125,7 @@
 	if m.isMirror() {
 		request.Endpoint = &m.options.Self
 	}
-	return transport.CallWithRelays[followResponse](callContext, m.network, address, followKind, request, detourDelay)
+	return transport.CallWithRelays[followResponse](callContext, m.network, address, followKind, request, relayDelay)
 }
 
 // recordResponse records the position, the sync time and the referrals of a response. Its entries must have been
--- a/internal/catalog/large.go
+++ b/internal/catalog/large.go
@@ -74,7 +74,7 @@
 func (m *Manager) fetch(ctx context.Context, address string, wanted announcement) error {
 	callContext, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	response, err := transport.CallWithRelays[fetchResponse](callContext, m.network, address, fetchKind, fetchRequest{Key: wanted.Key}, detourDelay)
+	response, err := transport.CallWithRelays[fetchResponse](callContext, m.network, address, fetchKind, fetchRequest{Key: wanted.Key}, relayDelay)
 	if err != nil {
 		return err
 	}
--- a/internal/catalog/manager.go
+++ b/internal/catalog/manager.go
@@ -312,7 +312,7 @@
 	m.unlockAndNotify(changed)
 }
 
-// unlockAndNotify wakes held requests, unlocks mutex, which the caller must hold, and calls OnChange.
+// unlockAndNotify wakes waiting long polls, unlocks mutex, which the caller must hold, and calls OnChange.
 func (m *Manager) unlockAndNotify(entries []Entry) {
 	if len(entries) > 0 {
 		close(m.changed)
@@ -345,7 +345,7 @@
 	m.recordSync(now)
 }
 
-// recordSync advances syncedAt and wakes held requests to pass it on to followers. The caller must hold mutex.
+// recordSync advances syncedAt and wakes waiting long polls to pass it on to followers. The caller must hold mutex.
 func (m *Manager) recordSync(at time.Time) {
 	if !at.After(m.syncedAt) {
 		return
--- a/internal/catalog/timing.go
+++ b/internal/catalog/timing.go
@@ -5,8 +5,9 @@
 const (
 	// defaultPropagationBound applies if a deployment sets no bound.
 	defaultPropagationBound = 2 * time.Second
-	// The shares of the bound after which a watch is answered, and after which replicas and gateways treat their
-	// catalog as stale. If one reader of the store is partitioned from it, gateways get changes from another reader. If
+	// watchShare is the share of the bound after which the store answers a watch, even without changes.
+	// replicaStaleShare and gatewayStaleShare are those after which replicas and gateways treat their catalog as
+	// stale. If one reader of the store is partitioned from it, gateways get changes from another reader. If
 	// all readers are, the replicas become stale first and read the store; gateways leave them time for that
 	// before they do the same, and use the rest of the bound to list the store. Without faults,
 	// the age of a catalog hardly exceeds the wait of a watch, since sync times are passed on at once.
--- a/internal/conversation/text.go
+++ b/internal/conversation/text.go
@@ -36,7 +36,7 @@
 func (t *Text) UnmarshalJSON(data []byte) error {
 	var encoded string
 	if err := json.Unmarshal(data, &encoded); err != nil {
-		return errors.Wrap(err, "decoding a text")
+		return errors.Wrap(err, "decoding a turn's text from JSON")
 	}
 	if encoded == "" {
 		*t = nil
@@ -48,7 +48,7 @@
 	case base64Prefix:
 		decoded, err := base64.StdEncoding.DecodeString(encoded[1:])
 		if err != nil {
-			return errors.Wrap(err, "decoding a text")
+			return errors.Wrap(err, "decoding a turn's text from base64")
 		}
 		*t = decoded
 	default:
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -8,8 +8,8 @@
 const (
 	// failureHalfLife is the half-life of the counts of failures and successes.
 	failureHalfLife = 3 * time.Second
-	// breakerMinFailures and breakerFailureRatio are the decayed count and the ratio of failures that
-	// open a breaker. An engine that fails a few percent of its calls stays in use.
+	// A breaker opens once the decayed count of failures reaches breakerMinFailures and their share of all
+	// outcomes reaches breakerFailureRatio. An engine that fails a few percent of its calls stays in use.
 	breakerMinFailures  = 2.5
 	breakerFailureRatio = 0.4
 	breakerMinOpen      = 500 * time.Millisecond
@@ -19,11 +19,13 @@
 // breaker is a circuit breaker for one engine. It opens on the failures of regular traffic, stays open for an
 // exponentially growing time, and then lets a single probe through.
 type breaker struct {
+	// failures and successes are decayed counts as of updatedAt.
 	failures  float64
 	successes float64
 	updatedAt time.Time
 	openUntil time.Time
-	openFor   time.Duration
+	// openFor is the length of the last open time; 0 while the breaker is closed.
+	openFor time.Duration
 	// probedAt is when the probe was sent; zero if none is under way.
 	probedAt time.Time
 }
@@ -49,7 +51,8 @@
 	return b.probedAt.IsZero() || now.Sub(b.probedAt) > failureHalfLife
 }
 
-func (b *breaker) sent(now time.Time) {
+// recordSent records that a request was sent. On a breaker that is not closed, that request is the probe.
+func (b *breaker) recordSent(now time.Time) {
 	if b.openFor > 0 {
 		b.probedAt = now
 	}
@@ -68,12 +71,13 @@
 	return closed
 }
 
-// failed records a failure and reports whether it opened the breaker. A severe failure always does.
-func (b *breaker) failed(now time.Time, severe bool) bool {
+// failed records a failure and reports whether the breaker is open after it. With openAtOnce a single failure
+// opens it.
+func (b *breaker) failed(now time.Time, openAtOnce bool) bool {
 	b.decay(now)
 	b.failures++
 	tooMany := b.failures >= breakerMinFailures && b.failures >= breakerFailureRatio*(b.failures+b.successes)
-	if !severe && !tooMany && b.openFor == 0 {
+	if !openAtOnce && !tooMany && b.openFor == 0 {
 		return false
 	}
 	b.openFor = min(max(b.openFor*2, breakerMinOpen), breakerMaxOpen)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -209,7 +209,7 @@
 	assert.Assert(t, !often.allows(now))
 	later := now.Add(breakerMaxOpen)
 	assert.Assert(t, often.allows(later))
-	often.sent(later)
+	often.recordSent(later)
 	assert.Assert(t, !often.allows(later), "a second probe is allowed")
 	assert.Assert(t, often.succeeded(later))
 	assert.Assert(t, often.allows(later))
--- a/internal/dispatch/latency.go
+++ b/internal/dispatch/latency.go
@@ -37,7 +37,7 @@
 	r.updatedAt = now
 }
 
-// maxSample caps the effect of a single sample.
+// maxSample is the largest latency ratio that a single sample counts as.
 const maxSample = 6
 
 // latencyBaseline is the average duration of one kind of step over all engines.
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -21,16 +21,16 @@
 	// minPrefixEngines is their least number.
 	prefixEngineShare = 1.0 / 3
 	minPrefixEngines  = 2
-	// prefillCost is the cost of processing tokens again, for as many tokens as the call itself adds: a prefill
-	// stalls all other calls of the engine.
+	// prefillCost is the cost of processing as many tokens again as the call has new ones, in requests in flight. A
+	// prefill stalls all other calls of the engine, so the cost is proportional to the number of tokens.
 	prefillCost = 0.08
-	// maxPrefillCost bounds it, so that a call can always move away from an overloaded engine.
+	// maxPrefillCost bounds the cost of a prefill, so that a call can always move away from an overloaded engine.
 	maxPrefillCost = 1.0
-	// overloadFactor and overloadSlack define from how many calls on an engine counts as overloaded: the factor times
-	// the mean, plus the slack.
+	// An engine counts as overloaded above overloadFactor times the mean number of calls in flight, plus
+	// overloadSlack calls.
 	overloadFactor = 1.2
 	overloadSlack  = 2.0
-	// overloadCost is the cost of each call above that number.
+	// overloadCost is the cost of each call above the overload threshold.
 	overloadCost = 0.1
 	// firstTurnLoadCost is the cost of each call in flight for a program's first turn, which has no history to process
 	// again. A random cost of up to firstTurnJitter is added: the load reports of other gateways are stale, so that
@@ -101,7 +101,7 @@
 	trace.LoadAge, _ = r.others.Age(now)
 	trace.LatencyRatio = best.latencyRatio.at(now)
 	best.inFlight++
-	best.breaker.sent(now)
+	best.breaker.recordSent(now)
 	return best
 }
 
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -234,9 +234,10 @@
 	}
 }
 
-func (r *Registry) failed(engine *Engine, severe bool, cause error) {
+// failed records a failure of an engine. openAtOnce opens its breaker whatever its earlier outcomes.
+func (r *Registry) failed(engine *Engine, openAtOnce bool, cause error) {
 	r.mutex.Lock()
-	opened := engine.breaker.failed(time.Now(), severe)
+	opened := engine.breaker.failed(time.Now(), openAtOnce)
 	openFor := engine.breaker.openFor
 	r.mutex.Unlock()
 	if opened {
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Resumable is a stream that another run can continue after one was interrupted.
+// Resumable is a stream that a further run can continue after an interruption.
 type Resumable interface {
 	// LastEvent returns the ID of the last event that the caller received; empty if there is none.
 	LastEvent() string
@@ -25,19 +25,20 @@
 	Cause error
 	// eventsBefore is how many events the caller had received when the run began.
 	eventsBefore int
-	// notify is set unless this is the first run of the stream.
+	// notify is set if report must pass the result to the stream.
 	notify bool
 }
 
-// newResumption starts the record of a run. Only runs after the first one are reported to the stream.
+// newResumption returns the Resumption of a run that begins. ranBefore is set unless it is the first run of the stream;
+// the result of the first run is not reported.
 func newResumption(call *Call, engine *Engine, ranBefore bool) *Resumption {
-	run := &Resumption{Engine: engine.ID()}
+	resumption := &Resumption{Engine: engine.ID()}
 	if call.Stream != nil {
-		run.LastEvent = call.Stream.LastEvent()
-		run.eventsBefore = call.Stream.Events()
-		run.notify = ranBefore
+		resumption.LastEvent = call.Stream.LastEvent()
+		resumption.eventsBefore = call.Stream.Events()
+		resumption.notify = ranBefore
 	}
-	return run
+	return resumption
 }
 
 // report passes the result of the run to the stream.
--- a/internal/eventstream/stream.go
+++ b/internal/eventstream/stream.go
@@ -4,7 +4,7 @@
 //
 // A stream is read from one or more attempts at engines, each continuing after the last event of the previous ones. The
 // caller gets the first attempt's head, each event once and in order, and an end only if the last attempt ended completely
-// and brought an event.
+// and contained an event.
 //
 //	Pending, End ───────────────────────────────────> Complete
 //	Pending, Feed that returns bytes ───────────────> Forwarding
@@ -54,12 +54,11 @@
 const (
 	// MediaType is the media type of event streams.
 	MediaType = "text/event-stream"
-	// maxBufferedBytes bounds what is buffered of one attempt: an incomplete event or an error body. Other
-	// responses have the same limit.
+	// maxBufferedBytes bounds what is buffered of one attempt: an incomplete event or an error body.
 	maxBufferedBytes = 16 << 20
 )
 
-// Options configure a Stream.
+// Options configures a Stream.
 type Options struct {
 	// Resumable allows another attempt to continue after the last forwarded event. Such streams are
 	// forwarded in whole events.
@@ -99,12 +98,12 @@
 	scanner                scanner
 	// buffered holds bytes that were not forwarded: an incomplete event or an error body.
 	buffered []byte
-	// forward is the result of the last Feed or End.
-	forward []byte
-	// forwarded counts the events that were forwarded, received all events including those that the
-	// caller had before. attemptHasEvents is set once the current attempt brought an event.
-	forwarded, received int
-	attemptHasEvents    bool
+	// result holds the bytes that the last Feed or End returned.
+	result []byte
+	// forwardedCount is the number of events that were forwarded; receivedCount includes those that the
+	// caller had before. attemptHasEvents is set once the current attempt contained an event.
+	forwardedCount, receivedCount int
+	attemptHasEvents              bool
 	// lastID is the ID of the last recorded event that had one; lastHasID is set if the last event
 	// had one. ids tracks all IDs. version is the version of the weights that generated the last
 	// event.
@@ -113,7 +112,7 @@
 	ids       idOrder
 	version   string
 	output    []byte
-	// skipping is set while events are received that the caller already has.
+	// skipping is set while the received events are ones that the caller already has.
 	skipping bool
 	// incompatible is set once no attempt can continue what the caller has.
 	incompatible bool
@@ -142,14 +141,14 @@
 func (s *Stream) LastEvent() string { return s.lastID }
 
 // EventsForwarded returns the number of whole events that were forwarded.
-func (s *Stream) EventsForwarded() int { return s.forwarded }
+func (s *Stream) EventsForwarded() int { return s.forwardedCount }
 
 // EventsStarted returns the number of events that were forwarded at least in part.
 func (s *Stream) EventsStarted() int {
 	if !s.options.Resumable && s.currentHead.isSuccess() && s.scanner.inEvent() {
-		return s.forwarded + 1
+		return s.forwardedCount + 1
 	}
-	return s.forwarded
+	return s.forwardedCount
 }
 
 // Output returns the data of all recorded events, each followed by a line feed. It is empty unless
@@ -250,21 +249,21 @@
 
 // forwardEvents forwards whole events after checking each against the earlier ones.
 func (s *Stream) forwardEvents(chunk []byte) ([]byte, error) {
-	s.forward = s.forward[:0]
+	s.result = s.result[:0]
 	for len(chunk) > 0 {
 		consumed, complete := s.scanner.next(chunk)
 		if err := s.buffer(chunk[:consumed]); err != nil {
-			return s.forward, err
+			return s.result, err
 		}
 		chunk = chunk[consumed:]
 		if !complete {
 			break
 		}
 		if err := s.forwardEvent(); err != nil {
-			return s.forward, err
+			return s.result, err
 		}
 	}
-	return s.forward, nil
+	return s.result, nil
 }
 
 // forwardEvent checks and records the complete event and forwards its buffered bytes.
@@ -283,7 +282,7 @@
 		// are forwarded at once. A continuation is not confirmed before its first event; until then
 		// they stay buffered.
 		s.state = Forwarding
-		s.forward = append(s.forward, s.buffered...)
+		s.result = append(s.result, s.buffered...)
 	default:
 		return nil
 	}
@@ -304,7 +303,7 @@
 	switch {
 	case reason == "":
 		return nil
-	case s.forwarded == 0 && s.lastID != "":
+	case s.forwardedCount == 0 && s.lastID != "":
 		return &ErrMismatch{Reason: reason + ", the last event of the caller"}
 	}
 	return &ErrCorrupt{Reason: reason}
@@ -313,7 +312,7 @@
 // unconfirmed reports whether no event has shown yet that the current attempt continues after what
 // the caller has.
 func (s *Stream) unconfirmed() bool {
-	return s.state == Resuming || (s.forwarded == 0 && s.options.LastEvent != "")
+	return s.state == Resuming || (s.forwardedCount == 0 && s.options.LastEvent != "")
 }
 
 // record counts an event and adds it to the output. Blocks without data are ignored.
@@ -321,7 +320,7 @@
 	if !e.hasData {
 		return
 	}
-	s.received++
+	s.receivedCount++
 	s.attemptHasEvents = true
 	s.lastHasID = e.id != ""
 	if s.lastHasID {
@@ -339,39 +338,39 @@
 		s.skipping = e.id != s.options.LastEvent
 		return
 	}
-	s.forwarded++
+	s.forwardedCount++
 }
 
 // End takes the end of the current attempt's body, which is complete by its HTTP framing, and
 // returns the bytes to forward before the end of the response, also together with an error. An
 // error means that the stream is not complete.
 func (s *Stream) End() ([]byte, error) {
-	s.forward = s.forward[:0]
+	s.result = s.result[:0]
 	if !s.currentHead.isSuccess() {
 		s.state = Complete
 		return s.buffered, nil
 	}
 	if err := s.finishEvent(); err != nil {
-		return s.forward, err
+		return s.result, err
 	}
 	switch {
-	case s.scanner.inEvent() && (s.currentHead.MediaType == MediaType || s.forwarded > 0):
-		return s.forward, &ErrCorrupt{Reason: "the response ends within an event"}
+	case s.scanner.inEvent() && (s.currentHead.MediaType == MediaType || s.forwardedCount > 0):
+		return s.result, &ErrCorrupt{Reason: "the response ends within an event"}
 	case s.state == Resuming || s.state == Interrupted || (!s.attemptHasEvents && s.continuesStream()):
 		// A failing engine may end its response before the first event. Taken for a continuation,
 		// this would end the stream early.
-		return s.forward, &ErrNotContinuation{Reason: "it contains no event", Status: s.currentHead.Status}
+		return s.result, &ErrNotContinuation{Reason: "it contains no event", Status: s.currentHead.Status}
 	case s.skipping:
-		return s.forward, &ErrMismatch{Reason: "the stream lacks event " + s.options.LastEvent + ", the last event of the caller"}
+		return s.result, &ErrMismatch{Reason: "the stream lacks event " + s.options.LastEvent + ", the last event of the caller"}
 	}
 	s.state = Complete
-	return append(s.forward, s.buffered...), nil
+	return append(s.result, s.buffered...), nil
 }
 
 // continuesStream reports whether the current attempt has to continue a stream of which the caller
 // has a part.
 func (s *Stream) continuesStream() bool {
-	return s.received > 0 || (s.options.LastEvent != "" && s.currentHead.MediaType == MediaType)
+	return s.receivedCount > 0 || (s.options.LastEvent != "" && s.currentHead.MediaType == MediaType)
 }
 
 // finishEvent handles an event that ended with the last byte of the body.
--- a/internal/eventstream/stream_test.go
+++ b/internal/eventstream/stream_test.go
@@ -63,7 +63,7 @@
 	return nil, nil
 }
 
-// Each state with each kind of input.
+// The table has, for each state, the inputs that may arrive in it.
 func TestStateTransitions(t *testing.T) {
 	t.Parallel()
 	const cutEvent = "id: 3\ndata: e"
--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -51,13 +51,13 @@
 
 func (testProtocol) WeightsVersion() (header, eventField string) { return "Weights", "weights" }
 
-func (testProtocol) Prepare(header http.Header, offer dispatch.AttemptInfo) {
-	header.Set("Engine", offer.Engine)
-	header.Set("Left", strconv.FormatInt(offer.Timeout.Milliseconds(), 10))
+func (testProtocol) Prepare(header http.Header, attempt dispatch.AttemptInfo) {
+	header.Set("Engine", attempt.Engine)
+	header.Set("Left", strconv.FormatInt(attempt.Timeout.Milliseconds(), 10))
 	switch {
-	case offer.LastEvent != "":
-		header.Set("After", offer.LastEvent)
-	case offer.FromStart:
+	case attempt.LastEvent != "":
+		header.Set("After", attempt.LastEvent)
+	case attempt.FromStart:
 		header.Del("After")
 	}
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -293,7 +293,7 @@
 	assert.Equal(t, cluster.engines["e"].runs.Load(), int64(3))
 }
 
-// The end of a kept turn is sent only once it is stored; without replicas the response is
+// The end of a turn on a route that stores turns is sent only once it is stored; without replicas the response is
 // interrupted.
 func TestUnstoredTurnIsInterrupted(t *testing.T) {
 	t.Parallel()
--- a/internal/ingress/node.go
+++ b/internal/ingress/node.go
@@ -18,9 +18,10 @@
 )
 
 const (
-	// connectionDivisor divides an engine's connection limit among gateways.
+	// connectionDivisor divides a service's connection limit among gateways: each uses its share as if there were
+	// this many.
 	connectionDivisor = 12
-	// minConnections is the lower bound of a gateway's share.
+	// minConnections is the lower bound of a gateway's share of a connection limit.
 	minConnections = 4
 	// readinessPollInterval is how often a starting gateway checks whether it is ready.
 	readinessPollInterval = 30 * time.Millisecond
@@ -38,7 +39,7 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// NodeOptions configure a Node.
+// NodeOptions configures a Node.
 type NodeOptions struct {
 	Zone           string
 	CallerProtocol CallerProtocol
@@ -71,7 +72,8 @@
 	routesWereReady   atomic.Bool
 	ready             atomic.Bool
 	stopping          atomic.Bool
-	applyMutex        sync.Mutex
+	// applyMutex is held while a configuration is installed, so that a concurrent older one can't replace it.
+	applyMutex sync.Mutex
 }
 
 // NewNode returns a Node with an empty catalog.
--- a/internal/ingress/resume_test.go
+++ b/internal/ingress/resume_test.go
@@ -276,7 +276,7 @@
 }
 
 // sendInterrupted sends a request whose engine interrupts the stream after the first half; the
-// script plays later attempts.
+// script serves later attempts.
 func sendInterrupted(t *testing.T, later func(call *engineCall)) reply {
 	t.Helper()
 	cluster := newTestCluster(t)
--- a/internal/ingress/resumefaults_test.go
+++ b/internal/ingress/resumefaults_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// A caller resumes a kept turn after an event that it has. The continuation alone must not be
+// A caller resumes a turn that is to be stored, after an event that it has. The continuation alone must not be
 // stored as the turn, since later prompts would then contain only half of it.
 func TestContinuationIsNotStoredAsTheTurn(t *testing.T) {
 	t.Parallel()
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -66,7 +66,7 @@
 	WeightsVersion() (header, eventField string)
 }
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	// Table returns the installed routes; nil before there are any.
 	Table func() *routing.Table
--- a/internal/ingress/startup_test.go
+++ b/internal/ingress/startup_test.go
@@ -40,45 +40,45 @@
 	}
 }
 
-// startReplicaFeed starts a node that serves the source's configuration to gateways.
-func startReplicaFeed(t *testing.T, source *fakeSource) (address string, feed *catalog.Manager) {
+// startCatalogPeer starts a node that serves the source's configuration to gateways.
+func startCatalogPeer(t *testing.T, source *fakeSource) (address string, peer *catalog.Manager) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address = listener.Addr().String()
 	network := transport.New(transport.Options{Cluster: "test", NodeID: address, Address: address, Logger: events.Discard()})
-	feed = catalog.NewManager(catalog.Options{
+	peer = catalog.NewManager(catalog.Options{
 		Peers: func() []string { return nil }, FollowAll: true, ReadsStore: func() bool { return true }, Source: source,
 		StaleAfter: staleAfter, OnChange: func(catalog.Entry) {},
 	}, network, events.Discard())
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { _ = network.Serve(listener) }()
-	go feed.Run(ctx)
+	go peer.Run(ctx)
 	t.Cleanup(func() {
 		stop()
 		network.Close()
 	})
-	return address, feed
+	return address, peer
 }
 
 const (
 	staleAfter = 300 * time.Millisecond
-	// slowDialDelay delays connections to the feed that is up to date.
+	// slowDialDelay delays connections to the peer that is up to date.
 	slowDialDelay = 100 * time.Millisecond
 )
 
-// A starting gateway first reaches a feed that is disconnected from the store, and a current one a
+// A starting gateway first reaches a peer that is disconnected from the store, and a current one a
 // moment later. A waiting request must not use the older routes: before its restart the gateway may
 // have had the newer ones.
 func TestStartingGatewayWaitsForCurrentRoutes(t *testing.T) {
 	old, current := &fakeSource{entry: entryOf(t, 1)}, &fakeSource{entry: entryOf(t, 2)}
-	near, oldFeed := startReplicaFeed(t, old)
-	far, currentFeed := startReplicaFeed(t, current)
-	eventually(t, "the feeds are in contact with the store", func() bool {
-		return oldFeed.Age() < staleAfter && currentFeed.Age() < staleAfter
+	near, stalePeer := startCatalogPeer(t, old)
+	far, currentPeer := startCatalogPeer(t, current)
+	eventually(t, "the peers are in contact with the store", func() bool {
+		return stalePeer.Age() < staleAfter && currentPeer.Age() < staleAfter
 	})
 	old.disconnected.Store(true)
-	eventually(t, "one feed is stale", func() bool { return oldFeed.Age() > 2*staleAfter })
+	eventually(t, "one peer is stale", func() bool { return stalePeer.Age() > 2*staleAfter })
 
 	network := transport.New(transport.Options{Cluster: "test", NodeID: "gateway", Logger: events.Discard(),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -41,7 +41,7 @@
 // is stored.
 func (r *request) relayStream(ctx context.Context, call *dispatch.Call) error {
 	_, versionField := r.server.options.CallerProtocol.WeightsVersion()
-	// If the caller resumes a kept turn, engines are asked for the whole stream. The continuation
+	// If the caller resumes a turn that is stored, engines are asked for the whole stream. The continuation
 	// alone must not be stored: later prompts would contain it as the whole turn.
 	call.FromStart = r.route.Repeatable() && r.route.StoreTurns() && r.caller.LastEvent != ""
 	s := &stream{request: r, sse: eventstream.New(eventstream.Options{
--- a/internal/ingress/versions_test.go
+++ b/internal/ingress/versions_test.go
@@ -34,10 +34,10 @@
 	return catalog.Entry{Key: catalog.Key(catalog.ConfigurationKind, "current"), Revision: version, Value: encoded}
 }
 
-// Feeds deliver versions concurrently, in any order and repeatedly. The version that requests see
+// Peers deliver versions concurrently, in any order and repeatedly. The version that requests see
 // must never decrease.
 func TestInstalledVersionOnlyIncreases(t *testing.T) {
-	const versions, feeds, readers = 60, 6, 4
+	const versions, peers, readers = 60, 6, 4
 	cluster := newUnconfiguredCluster(t)
 	var entries []catalog.Entry
 	for version := range int64(versions) {
@@ -57,7 +57,7 @@
 			}
 		})
 	}
-	for range feeds {
+	for range peers {
 		applying.Go(func() {
 			for _, index := range rand.Perm(versions) {
 				cluster.node.apply(entries[index])
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -43,12 +43,12 @@
 // counter holds the permits of one limit. Limiter's mutex guards it.
 type counter struct {
 	bucket *rate.Limiter
-	// held maps the IDs of calls with a permit to its expiry.
-	held map[string]time.Time
+	// permits maps the ID of each call that has a permit to the permit's expiry.
+	permits map[string]time.Time
 }
 
 // Limiter enforces limits across all nodes. The limit of each tenant on each service is counted by one owner node,
-// chosen by rendezvous hashing, so that no single node counts for all limits. While nodes disagree about the
+// chosen by rendezvous hashing, so that the counting is spread over all nodes. While nodes disagree about the
 // membership, two owners may each grant the full limit.
 type Limiter struct {
 	network    *transport.Transport
@@ -123,31 +123,31 @@
 	defer l.mutex.Unlock()
 	current := l.counter(limitKey{request.Tenant, request.Service})
 	current.expire(now)
-	if _, alreadyHeld := current.held[request.CallID]; alreadyHeld {
+	if _, granted := current.permits[request.CallID]; granted {
 		return Response{Granted: true}
 	}
-	return current.take(request, configured, now)
+	return current.acquire(request, configured, now)
 }
 
 func (l *Limiter) counter(key limitKey) *counter {
 	if l.counters[key] == nil {
-		l.counters[key] = &counter{bucket: rate.NewLimiter(rate.Inf, 1), held: make(map[string]time.Time)}
+		l.counters[key] = &counter{bucket: rate.NewLimiter(rate.Inf, 1), permits: make(map[string]time.Time)}
 	}
 	return l.counters[key]
 }
 
 func (c *counter) expire(now time.Time) {
-	for callID, until := range c.held {
+	for callID, until := range c.permits {
 		if now.After(until) {
-			delete(c.held, callID)
+			delete(c.permits, callID)
 		}
 	}
 }
 
-// take applies the configured limit, which may have changed since the last call. The token bucket's burst is one
-// second's worth.
-func (c *counter) take(request Request, configured resource.Limit, now time.Time) Response {
-	if configured.Concurrent > 0 && len(c.held) >= configured.Concurrent {
+// acquire grants a permit if the configured limit allows one more call. The limit may have changed since the last call.
+// The token bucket's burst is the number of requests of one second, at least 1.
+func (c *counter) acquire(request Request, configured resource.Limit, now time.Time) Response {
+	if configured.Concurrent > 0 && len(c.permits) >= configured.Concurrent {
 		return Response{RetryAfter: concurrencyRetryAfter.Milliseconds()}
 	}
 	if configured.RequestsPerSecond > 0 {
@@ -157,7 +157,7 @@
 			return Response{RetryAfter: max(1, int64(1000/configured.RequestsPerSecond))}
 		}
 	}
-	c.held[request.CallID] = now.Add(time.Duration(request.HoldMillis) * time.Millisecond)
+	c.permits[request.CallID] = now.Add(time.Duration(request.HoldMillis) * time.Millisecond)
 	return Response{Granted: true}
 }
 
@@ -165,6 +165,6 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if current := l.counters[limitKey{request.Tenant, request.Service}]; current != nil {
-		delete(current.held, request.CallID)
+		delete(current.permits, request.CallID)
 	}
 }
--- a/internal/limit/retry.go
+++ b/internal/limit/retry.go
@@ -3,8 +3,8 @@
 
 import "sync"
 
-// RetryBudget limits retries to a ratio of the successes, so that they don't multiply the load in an
-// outage. The zero value allows none; use NewRetryBudget. All methods may be called concurrently.
+// RetryBudget is a token bucket that limits retries to a ratio of the successes, so that they don't multiply the load in
+// an outage. The zero value allows none; use NewRetryBudget. All methods may be called concurrently.
 type RetryBudget struct {
 	mutex  sync.Mutex
 	ratio  float64
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
 // Package load shares the number of calls in flight per engine among gateways. Each gateway reports its own calls
-// in flight to the replicas, along with the requests that open turns, and receives the sum of the other gateways'
+// in flight to the replicas, along with its requests to open turns, and receives the sum of the other gateways'
 // reports in the response. Without recent reports a gateway relies on its own calls alone.
 //
 // Counts is the encoding of a report; a replica uses an Aggregator, and a gateway a View and a Pacer.
@@ -32,8 +32,8 @@
 	// reportExpiry is how long a replica uses a gateway's report without a newer one. Gateways with traffic report
 	// several times a second.
 	reportExpiry = 1500 * time.Millisecond
-	// reportFreshAge is the age up to which a report counts in full; then its weight falls with the square of its age. It is
-	// about the duration of a call.
+	// reportFreshAge is the age up to which a report counts in full; beyond it, the weight falls with the square of the
+	// age. It is about the duration of a call, so later on many of the reported calls have ended.
 	reportFreshAge = 500 * time.Millisecond
 	// maxEntries bounds the engines in a report; the busiest ones are kept.
 	maxEntries = 64
@@ -72,9 +72,9 @@
 func (e *ErrCounts) Error() string { return "invalid call counts: " + strconv.Quote(e.Text) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (s Counts) MarshalText() ([]byte, error) {
+func (c Counts) MarshalText() ([]byte, error) {
 	var text []byte
-	for _, count := range s {
+	for _, count := range c {
 		if len(text) > 0 {
 			text = append(text, ',')
 		}
@@ -85,8 +85,8 @@
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler. The error is an ErrCounts.
-func (s *Counts) UnmarshalText(text []byte) error {
-	*s = nil
+func (c *Counts) UnmarshalText(text []byte) error {
+	*c = nil
 	if len(text) == 0 {
 		return nil
 	}
@@ -98,20 +98,20 @@
 		if err != nil || calls < 0 {
 			return errors.WithStack(&ErrCounts{Text: part})
 		}
-		*s = append(*s, Count{Engine: Key(part[:keyLength]), Calls: calls})
+		*c = append(*c, Count{Engine: Key(part[:keyLength]), Calls: calls})
 	}
 	return nil
 }
 
 // Busiest returns the entries of the busiest engines, at most maxEntries of them. It sorts the receiver.
-func (s Counts) Busiest() Counts {
-	slices.SortFunc(s, func(a, b Count) int {
+func (c Counts) Busiest() Counts {
+	slices.SortFunc(c, func(a, b Count) int {
 		if a.Calls != b.Calls {
 			return b.Calls - a.Calls
 		}
 		return cmp.Compare(a.Engine, b.Engine)
 	})
-	return s[:min(len(s), maxEntries)]
+	return c[:min(len(c), maxEntries)]
 }
 
 // Aggregator sums up the reports of gateways. All methods may be called concurrently.
@@ -121,8 +121,8 @@
 }
 
 type report struct {
-	counts Counts
-	at     time.Time
+	counts     Counts
+	receivedAt time.Time
 }
 
 // NewAggregator returns an Aggregator without reports.
@@ -132,10 +132,10 @@
 func (a *Aggregator) Exchange(now time.Time, gateway string, reported Counts) Counts {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.reports[gateway] = report{counts: reported, at: now}
+	a.reports[gateway] = report{counts: reported, receivedAt: now}
 	sums := make(map[Key]int)
 	for name, known := range a.reports {
-		if now.Sub(known.at) > reportExpiry {
+		if now.Sub(known.receivedAt) > reportExpiry {
 			delete(a.reports, name)
 			continue
 		}
@@ -157,7 +157,8 @@
 type View struct {
 	mutex sync.Mutex
 	calls map[Key]int
-	at    time.Time
+	// receivedAt is when the counts were received; zero before the first ones.
+	receivedAt time.Time
 }
 
 // NewView returns a View without a report.
@@ -171,7 +172,7 @@
 	for _, count := range others {
 		v.calls[count.Engine] = count.Calls
 	}
-	v.at = now
+	v.receivedAt = now
 }
 
 // Calls returns the estimated number of the other gateways' calls in flight at an engine. It decays with the age of the
@@ -190,12 +191,12 @@
 func (v *View) Age(now time.Time) (time.Duration, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return now.Sub(v.at), !v.at.IsZero()
+	return now.Sub(v.receivedAt), !v.receivedAt.IsZero()
 }
 
 // weight returns the weight of the last report: 1 while it is recent, then falling towards 0. The caller holds the mutex.
 func (v *View) weight(now time.Time) float64 {
-	relativeAge := float64(now.Sub(v.at)) / float64(reportFreshAge)
+	relativeAge := float64(now.Sub(v.receivedAt)) / float64(reportFreshAge)
 	if relativeAge <= 1 {
 		return 1
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -21,11 +21,12 @@
 	assert.DeepEqual(t, decoded, counts)
 	for _, damaged := range []string{"e-1", "e--1", "e--1x", "e--1-1", "e--11,"} {
 		var failed *ErrCounts
-		assert.Assert(t, assertAs(decoded.UnmarshalText([]byte(damaged)), &failed), damaged)
+		assert.Assert(t, findErrCounts(decoded.UnmarshalText([]byte(damaged)), &failed), damaged)
 	}
 }
 
-func assertAs(err error, target **ErrCounts) bool {
+// findErrCounts sets target to the first ErrCounts in the chain of causes and reports whether there is one.
+func findErrCounts(err error, target **ErrCounts) bool {
 	for err != nil {
 		if found, ok := err.(*ErrCounts); ok {
 			*target = found
@@ -49,7 +50,7 @@
 	assert.DeepEqual(t, aggregator.Exchange(start, "g1", Counts{{"e2", 4}}), Counts{{"e1", 5}})
 }
 
-// The calls of a crashed gateway must not count for longer than calls last.
+// The last report of a crashed gateway must not count after reportExpiry.
 func TestReportsExpire(t *testing.T) {
 	aggregator := NewAggregator()
 	aggregator.Exchange(start, "g1", Counts{{"e1", 2}})
--- a/internal/machinelist/machinelist.go
+++ b/internal/machinelist/machinelist.go
@@ -1,5 +1,5 @@
 // Package machinelist reads the platform's list of live and leaving machines. The list may be out of date, so it is
-// only a hint: all that it can do is make a node start its own planned shutdown.
+// only used to start a node's own graceful shutdown.
 package machinelist
 
 import (
@@ -38,7 +38,7 @@
 	maxListBytes   = 4 << 20
 )
 
-// ErrUnavailable means that the list was answered with an HTTP status other than 200.
+// ErrUnavailable means that the request for the list was answered with an HTTP status other than 200.
 type ErrUnavailable struct{ Status int }
 
 // Error implements error.
@@ -59,7 +59,7 @@
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "building the request")
+		return nil, errors.Wrap(err, "creating the request for the machine list")
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
--- a/internal/routing/specification.go
+++ b/internal/routing/specification.go
@@ -101,11 +101,11 @@
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return invalid("prefix must begin and end with a slash")
 	case r.Kind != Safe && r.Kind != Unsafe && r.Kind != Stream:
-		return invalid("unknown kind")
+		return invalid("kind must be safe, unsafe or stream")
 	case r.TimeoutMillis <= 0:
-		return invalid("timeout must be positive")
+		return invalid("timeout must be above 0 ms")
 	case len(r.Targets) == 0:
-		return invalid("no target service")
+		return invalid("targets are missing")
 	}
 	for _, target := range r.Targets {
 		if !services[target.Service] {
--- a/internal/turnlog/compact.go
+++ b/internal/turnlog/compact.go
@@ -9,7 +9,7 @@
 // twice the written bytes are read, so that the log shrinks.
 const minCompactionStepBytes = 128 << 10
 
-// compaction is the progress in reading the oldest segment.
+// compaction is the state of compacting the oldest segment; liveBytes is the size of its live records read so far.
 type compaction struct {
 	file      *os.File
 	reader    *bufio.Reader
--- a/internal/turnlog/frame.go
+++ b/internal/turnlog/frame.go
@@ -21,7 +21,7 @@
 type errCorruptFrame struct{}
 
 // Error implements error.
-func (errCorruptFrame) Error() string { return "corrupt record" }
+func (errCorruptFrame) Error() string { return "record with an invalid length or checksum" }
 
 func readFrame(reader io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
--- a/internal/turnlog/turnlog.go
+++ b/internal/turnlog/turnlog.go
@@ -40,7 +40,8 @@
 	defaultCompactionThreshold = 64 << 20
 )
 
-// ErrLog is a wrapError operation on the log, such as a disk error, a full queue or an ended context.
+// ErrLog means that an operation on the log failed, for example because of a disk error, a full queue or an ended
+// context.
 type ErrLog struct {
 	Operation string
 	cause     error
--- a/internal/turnstore/folder.go
+++ b/internal/turnstore/folder.go
@@ -42,14 +42,14 @@
 func openFolder(path string, firstStart bool) (*folder, error) {
 	opened := &folder{path: path}
 	if err := os.MkdirAll(path, folderMode); err != nil {
-		return nil, errors.Wrapf(err, "data folder %s", path)
+		return nil, errors.Wrapf(err, "creating data folder %s", path)
 	}
 	data, err := os.ReadFile(filepath.Join(path, folderFile))
 	if err == nil && json.Unmarshal(data, &opened.stored) == nil && opened.stored.Identity != "" {
 		return opened, nil
 	}
 	if err != nil && !os.IsNotExist(err) {
-		return nil, errors.Wrapf(err, "data folder %s", path)
+		return nil, errors.Wrapf(err, "reading the replica record in data folder %s", path)
 	}
 	opened.stored = folderRecord{Identity: uuid.NewString(), Complete: firstStart}
 	if err := opened.save(); err != nil {
@@ -113,12 +113,12 @@
 func (f *folder) save() error {
 	data, err := json.Marshal(f.stored)
 	if err != nil {
-		return errors.Wrap(err, "replica record")
+		return errors.Wrap(err, "encoding the replica record")
 	}
 	temporary := filepath.Join(f.path, folderFile+".new")
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, folderFileMode)
 	if err != nil {
-		return errors.Wrap(err, "replica record")
+		return errors.Wrap(err, "creating the replica record")
 	}
 	_, err = file.Write(data)
 	if err == nil {
@@ -131,7 +131,7 @@
 		err = os.Rename(temporary, filepath.Join(f.path, folderFile))
 	}
 	if err != nil {
-		return errors.Wrap(err, "replica record")
+		return errors.Wrap(err, "writing the replica record")
 	}
 	return turnlog.SyncDir(f.path)
 }
--- a/internal/turnstore/loadexchange.go
+++ b/internal/turnstore/loadexchange.go
@@ -17,7 +17,7 @@
 // loadReport is the load report attached to one open; the zero value is none.
 type loadReport struct {
 	gateway string
-	sheet   *load.Counts
+	counts  *load.Counts
 	// targets are the replicas that receive the report: the first of each zone in the first shard's set. Each collects
 	// the reports of all gateways.
 	targets []Member
@@ -33,15 +33,15 @@
 		return loadReport{}
 	}
 	set := c.ReplicaSet()
-	sheet := c.options.Load.Report()
-	report := loadReport{gateway: c.network.NodeID(), sheet: &sheet, epoch: set.Epoch}
+	counts := c.options.Load.Report()
+	report := loadReport{gateway: c.network.NodeID(), counts: &counts, epoch: set.Epoch}
 	for _, member := range set.All() {
 		if set.firstOfZone(member) {
 			report.targets = append(report.targets, member)
 		}
 	}
 	report.source = c.loadSource.choose(report.targets, c.options.Zone)
-	c.loadPacer.Charge(len(report.targets) * encodedSize(sheet))
+	c.loadPacer.Charge(len(report.targets) * encodedSize(counts))
 	return report
 }
 
@@ -49,7 +49,7 @@
 func (l loadReport) attachTo(request *openRequest, member Member) {
 	if contains(l.targets, member.Name) {
 		request.Gateway = l.gateway
-		request.Load = l.sheet
+		request.Load = l.counts
 		request.WantLoad = member.Name == l.source
 	}
 }
@@ -112,9 +112,9 @@
 	c.loadPacer.Charge(encodedSize(*response.Load))
 }
 
-// encodedSize returns the size of a sheet on the wire, in bytes.
-func encodedSize(sheet load.Counts) int {
-	encoded, err := json.Marshal(sheet)
+// encodedSize returns the size of a report on the wire, in bytes.
+func encodedSize(counts load.Counts) int {
+	encoded, err := json.Marshal(counts)
 	if err != nil {
 		return 0
 	}
@@ -126,7 +126,7 @@
 	if request.Load == nil {
 		return nil
 	}
-	others := r.board.Exchange(time.Now(), request.Gateway, *request.Load)
+	others := r.loadReports.Exchange(time.Now(), request.Gateway, *request.Load)
 	if !request.WantLoad {
 		return nil
 	}
--- a/internal/turnstore/loadexchange_test.go
+++ b/internal/turnstore/loadexchange_test.go
@@ -24,10 +24,10 @@
 }
 
 // setReported sets the counts to report.
-func (f *fakeLoad) setReported(sheet load.Counts) {
+func (f *fakeLoad) setReported(counts load.Counts) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.reported = sheet
+	f.reported = counts
 }
 
 func (f *fakeLoad) Take(_ time.Time, others load.Counts) {
--- a/internal/turnstore/membership.go
+++ b/internal/turnstore/membership.go
@@ -29,8 +29,8 @@
 	storeTimeout = time.Second
 	// candidateQuietPeriod is how long the list of candidates must be unchanged before the first sets are created.
 	candidateQuietPeriod = 800 * time.Millisecond
-	// candidateTimeout is how long to wait for more candidates than the minimum, and for the first candidate to create
-	// the sets.
+	// candidateTimeout is how long the least number of candidates, ReplicaOptions.Copies, waits for more of them, and how
+	// long the other candidates leave it to the first one to create the sets.
 	candidateTimeout = 4 * time.Second
 	// bootstrapInterval is the delay between attempts to create the first sets.
 	bootstrapInterval = time.Second
@@ -137,7 +137,7 @@
 
 // registerCandidate writes this replica's candidate key. A conflict means that an earlier attempt succeeded.
 func (r *Replica) registerCandidate(ctx context.Context) error {
-	err := r.swap(ctx, r.options.CandidatesKey+"/"+r.options.Self.Name, 0, r.options.Self)
+	err := r.compareAndSwap(ctx, r.options.CandidatesKey+"/"+r.options.Self.Name, 0, r.options.Self)
 	var conflict *configstore.ErrConflict
 	if err != nil && !errors.As(err, &conflict) {
 		return err
@@ -152,7 +152,7 @@
 	for _, set := range initialSets(candidates, r.options.Size, r.options.Copies) {
 		encoded, err := json.Marshal(set)
 		if err != nil {
-			return errors.Wrap(err, "replica set")
+			return errors.Wrap(err, "encoding an initial replica set")
 		}
 		writes = append(writes, configstore.Write{Key: setKey(r.options.SetKey, set.Shard), Value: encoded})
 	}
@@ -161,8 +161,8 @@
 	return r.options.Store.CompareAndSwap(callContext, r.options.SetKey, 0, writes)
 }
 
-// mayBootstrap reports whether this replica may create the first sets. The first candidate goes ahead; the others wait
-// longer, in case it is lost.
+// mayBootstrap reports whether this replica may create the first sets. The first candidate does so; the others wait
+// longer, and create them only if the first one seems lost.
 func (r *Replica) mayBootstrap(now time.Time, state *bootstrapState, candidates []Member) bool {
 	unchangedFor := now.Sub(state.changedAt)
 	if len(candidates) < r.options.Copies || unchangedFor < candidateQuietPeriod {
@@ -294,9 +294,9 @@
 	return r.replaceSet(ctx, set, next)
 }
 
-// updateContact tracks since when this replica has had contact with a quorum. A replica to which others seem lost may
-// itself be partitioned while it still reaches the store, or its connections may be coming back one by one; it must not
-// replace a member then.
+// updateContact tracks since when this replica has had contact with a quorum. Without such contact it must not replace a
+// member that seems lost: it may itself be partitioned from the others, although it reaches the store, or be reconnecting
+// to them one by one.
 func (r *Replica) updateContact(set ReplicaSet) {
 	switch {
 	case !r.hasQuorumContact(set):
@@ -328,8 +328,8 @@
 	return set.HasReadQuorum(recent)
 }
 
-// hasContactWithAll reports whether all members responded recently. Replacing a lost member is more urgent than
-// replacing one that is still there.
+// hasContactWithAll reports whether all members responded recently. Only then may this replica take the place of a
+// retiring member; otherwise its place is needed for the lost member.
 func (r *Replica) hasContactWithAll(members []Member) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -370,19 +370,19 @@
 // replaceSet writes a set if the store still has its predecessor.
 func (r *Replica) replaceSet(ctx context.Context, old, next ReplicaSet) error {
 	key := setKey(r.options.SetKey, old.Shard)
-	entry, err := r.get(ctx, key)
+	entry, err := r.readStore(ctx, key)
 	if err != nil {
 		return err
 	}
 	var stored ReplicaSet
 	if err := json.Unmarshal(entry.Value, &stored); err != nil {
-		return errors.Wrap(err, "replica set")
+		return errors.Wrap(err, "decoding the stored replica set")
 	}
 	if stored.Epoch != old.Epoch {
 		r.ApplySet(stored)
 		return errors.WithStack(&ErrSetChanged{Epoch: stored.Epoch})
 	}
-	if err := r.swap(ctx, key, entry.Revision, next); err != nil {
+	if err := r.compareAndSwap(ctx, key, entry.Revision, next); err != nil {
 		return err
 	}
 	r.ApplySet(next)
@@ -393,15 +393,17 @@
 type ErrSetChanged struct{ Epoch int64 }
 
 // Error implements error.
-func (*ErrSetChanged) Error() string { return "the replica set has changed" }
+func (*ErrSetChanged) Error() string {
+	return "the replica set in the store is not the one to be replaced"
+}
 
-func (r *Replica) get(ctx context.Context, key string) (configstore.Entry, error) {
+func (r *Replica) readStore(ctx context.Context, key string) (configstore.Entry, error) {
 	callContext, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return r.options.Store.Get(callContext, key)
 }
 
-func (r *Replica) swap(ctx context.Context, key string, revision int64, value any) error {
+func (r *Replica) compareAndSwap(ctx context.Context, key string, revision int64, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return errors.Wrap(err, key)
--- a/internal/turnstore/random_test.go
+++ b/internal/turnstore/random_test.go
@@ -33,14 +33,14 @@
 // acknowledged holds what was acknowledged to callers.
 type acknowledged struct {
 	mutex sync.Mutex
-	kept  []string
+	turns []string
 	// generated counts the tokens granted to each program.
 	generated map[string]int64
 }
 
 // TestRandomFaults kills, wipes, partitions, replaces and retires random replicas, within the tolerated number of
-// faults, during writes and reads. Acknowledged turns must not be denied, unknown turns must not be found, budgets must
-// not be exceeded, and in the end all acknowledged turns must be readable.
+// faults, during writes and reads. Acknowledged turns must not be reported as unknown, unwritten turns must not be
+// found, budgets must not be exceeded, and in the end all acknowledged turns must be readable.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for run := range *randomRuns {
@@ -84,13 +84,13 @@
 	for program, generated := range acked.generated {
 		assert.Assert(t, generated <= randomBudget, "%s generated %d", program, generated)
 	}
-	for _, id := range acked.kept {
+	for _, id := range acked.turns {
 		eventually(t, "turn "+id+" is readable", func() bool {
 			opened, err := c.read(id)
 			return err == nil && len(opened.Prefix) > 0
 		})
 	}
-	t.Logf("%d turns acknowledged", len(acked.kept))
+	t.Logf("%d turns acknowledged", len(acked.turns))
 }
 
 // write stores turns and spends budgets until the context ends.
@@ -120,7 +120,7 @@
 		cancel()
 		if err == nil {
 			acked.mutex.Lock()
-			acked.kept = append(acked.kept, id)
+			acked.turns = append(acked.turns, id)
 			acked.mutex.Unlock()
 		}
 	}
@@ -269,12 +269,12 @@
 func (c *cluster) checkReads(acked *acknowledged, random *rand.Rand) {
 	c.t.Helper()
 	acked.mutex.Lock()
-	kept := acked.kept
+	turns := acked.turns
 	acked.mutex.Unlock()
-	for range min(len(kept), 5) {
-		id := kept[random.IntN(len(kept))]
+	for range min(len(turns), 5) {
+		id := turns[random.IntN(len(turns))]
 		_, err := c.read(id)
-		assert.Assert(c.t, !apierr.Is(err, apierr.NoSuchTurn), "acknowledged turn %s was denied", id)
+		assert.Assert(c.t, !apierr.Is(err, apierr.NoSuchTurn), "acknowledged turn %s was reported as unknown", id)
 	}
 	opened, err := c.read("forged")
 	assert.Assert(c.t, err != nil, "a turn that was never written was found: %v", opened)
--- a/internal/turnstore/replica.go
+++ b/internal/turnstore/replica.go
@@ -60,7 +60,7 @@
 	CandidatesKey string
 	// TextBytes bounds the texts kept in memory, in bytes; others are read from disk. 0 means 16 MiB.
 	TextBytes int64
-	// LogBytes is the log size, in bytes, above which unneeded records are collected; 0 means the default of package
+	// LogBytes is the log size, in bytes, above which the log is compacted; 0 means the default of package
 	// turnlog.
 	LogBytes int64
 	// IsRetiring reports whether the operator is retiring the named replica; ReportRetirement reports to the operator
@@ -79,8 +79,8 @@
 	log     *turnlog.Log
 	texts   *texts
 	folder  *folder
-	// board aggregates the calls in flight at engines that gateways report.
-	board *load.Aggregator
+	// loadReports aggregates the calls in flight that gateways report.
+	loadReports *load.Aggregator
 	// incarnation identifies this replica's current numbering of its records to peers. It changes with each restart and
 	// each move to another shard, since the numbering starts over.
 	incarnation string
@@ -120,17 +120,17 @@
 // NewReplica loads the log from the data folder and registers the message handlers.
 func NewReplica(options ReplicaOptions, network *transport.Transport, logger *events.Logger) (*Replica, error) {
 	replica := &Replica{
-		options:    options,
-		network:    network,
-		logger:     logger,
-		state:      conversation.New(),
-		peers:      make(map[string]*peerProgress),
-		texts:      newTexts(options.TextBytes),
-		board:      load.NewAggregator(),
-		pullNow:    make(chan struct{}, 1),
-		sets:       make(sets),
-		candidates: make(map[string]Member),
-		shard:      noShard,
+		options:     options,
+		network:     network,
+		logger:      logger,
+		state:       conversation.New(),
+		peers:       make(map[string]*peerProgress),
+		texts:       newTexts(options.TextBytes),
+		loadReports: load.NewAggregator(),
+		pullNow:     make(chan struct{}, 1),
+		sets:        make(sets),
+		candidates:  make(map[string]Member),
+		shard:       noShard,
 
 		quorumContactSince: make(map[int]time.Time),
 		incarnation:        uuid.NewString(),
@@ -309,7 +309,7 @@
 	r.state.Apply(now, record)
 }
 
-// moved updates the position of a record that log collection has moved.
+// moved updates the position of a record that compaction of the log has moved.
 func (r *Replica) moved(payload []byte, at turnlog.Position) {
 	if record, valid := decodeRecord(payload); valid && record.Turn != nil {
 		r.texts.move(record.Turn.ID, at)
--- a/internal/turnstore/retirement_test.go
+++ b/internal/turnstore/retirement_test.go
@@ -98,7 +98,7 @@
 }
 
 // Without a spare, a retiring machine aborts its change when another member is lost during the handover, and leaves
-// once a newcomer has replaced the lost member.
+// once an added machine has replaced the lost member.
 func TestRetirementIsAbortedWhenMemberIsLost(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
--- a/internal/turnstore/texts.go
+++ b/internal/turnstore/texts.go
@@ -9,7 +9,7 @@
 // defaultTextBytes is the default limit of texts in memory.
 const defaultTextBytes = 16 << 20
 
-// textReadAttempts bounds the reads of a text whose record is being moved by log collection.
+// textReadAttempts bounds the reads of a text whose record is being moved by compaction of the log.
 const textReadAttempts = 3
 
 // texts holds the texts of turns. All are on disk; the newest are also in memory, since most turns are continued soon.
--- a/internal/turnstore/turnstore_test.go
+++ b/internal/turnstore/turnstore_test.go
@@ -62,7 +62,7 @@
 			}
 			eventually(t, "the turn is served", func() bool {
 				opened, err := c.read("a")
-				assert.Assert(t, !apierr.Is(err, apierr.NoSuchTurn), "an acknowledged turn was denied")
+				assert.Assert(t, !apierr.Is(err, apierr.NoSuchTurn), "an acknowledged turn was reported as unknown")
 				return err == nil && string(opened.Prefix) == "a;"
 			})
 			eventually(t, "the empty replica has caught up", func() bool {
@@ -72,7 +72,7 @@
 	}
 }
 
-// A replica that lost its disk must not deny turns before it has caught up.
+// A replica that lost its disk must not report turns as unknown before it has caught up.
 func TestWipedReplicaDoesNotDenyTurns(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
@@ -165,7 +165,7 @@
 	lost := c.machines[0]
 	c.kill(lost)
 	added := c.add("newcomer")
-	eventually(t, "the newcomer is a member", func() bool {
+	eventually(t, "the added replica is a member", func() bool {
 		set := c.store.set()
 		return !set.Changing() && set.Has("newcomer") && !set.Has(lost.name)
 	})
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -19,7 +19,8 @@
 	reader *bufio.Reader
 	// writes counts the writes of the current request; 0 proves that nothing of it reached the engine.
 	writes atomic.Int64
-	// idleDeadline is when an idle connection is no longer used; zero if the engine sent no timeout.
+	// idleDeadline is when an idle connection is no longer used; zero if the engine sent no timeout and
+	// defaultIdleTimeout applies.
 	idleDeadline time.Time
 	lastUsedAt   time.Time
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -62,12 +62,13 @@
 	address string
 	dial    func(ctx context.Context, address string) (net.Conn, error)
 
-	mutex  sync.Mutex
-	limit  int
-	idle   []*Connection
-	open   int
-	opened int64
-	closed bool
+	mutex sync.Mutex
+	limit int
+	idle  []*Connection
+	// openCount is the number of open connections, openedTotal that of all connections opened so far.
+	openCount   int
+	openedTotal int64
+	closed      bool
 }
 
 // NewPool returns a Pool of at most limit connections, and at least one.
@@ -79,7 +80,7 @@
 func (p *Pool) Opened() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.opened
+	return p.openedTotal
 }
 
 // HasIdle reports whether the connection that the next request would use is open, idle and not expired.
@@ -104,7 +105,7 @@
 	for _, connection := range p.idle {
 		connection.close()
 	}
-	p.open -= len(p.idle)
+	p.openCount -= len(p.idle)
 	p.idle = nil
 }
 
@@ -114,13 +115,13 @@
 		return connection, nil
 	}
 	p.mutex.Lock()
-	if p.open >= p.limit {
+	if p.openCount >= p.limit {
 		limit := p.limit
 		p.mutex.Unlock()
 		return nil, errors.WithStack(&ErrConnectionLimit{Limit: limit})
 	}
-	p.open++
-	p.opened++
+	p.openCount++
+	p.openedTotal++
 	p.mutex.Unlock()
 	raw, err := p.dial(ctx, p.address)
 	if err != nil {
@@ -153,9 +154,9 @@
 func (p *Pool) put(connection *Connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.closed || p.open > p.limit {
+	if p.closed || p.openCount > p.limit {
 		connection.close()
-		p.open--
+		p.openCount--
 		return
 	}
 	p.idle = append(p.idle, connection)
@@ -165,5 +166,5 @@
 func (p *Pool) connectionClosed(*Connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open--
+	p.openCount--
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -254,7 +254,7 @@
 		pool := server.pool(1)
 		_, err := exchangeWhole(t, pool, post("x"))
 		assert.Assert(t, err != nil, name)
-		assert.Equal(t, pool.open, 0, name)
+		assert.Equal(t, pool.openCount, 0, name)
 	}
 }
 
