--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -152,14 +152,14 @@
 // CallerGone returns an ErrCallerGone.
 func CallerGone(cause error) error { return errors.WithStack(&ErrCallerGone{cause: cause}) }
 
-// ErrWithdrawn means that the gateway itself cancelled the call.
+// ErrWithdrawn means that the gateway itself canceled the call.
 type ErrWithdrawn struct{ cause error }
 
 // Withdrawn returns an ErrWithdrawn.
 func Withdrawn(cause error) error { return errors.WithStack(&ErrWithdrawn{cause: cause}) }
 
 // Error implements error.
-func (e *ErrWithdrawn) Error() string { return "call cancelled by the gateway: " + e.cause.Error() }
+func (e *ErrWithdrawn) Error() string { return "call canceled by the gateway: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *ErrWithdrawn) Unwrap() error { return e.cause }
@@ -292,7 +292,7 @@
 		d.drainRefusal(exchange)
 		return refused, errRefused
 	case Misdirected:
-		d.registry.markGone(engine)
+		d.registry.markMisdirected(engine)
 		return misdirected, errMisdirected
 	case Invalid:
 		d.registry.failed(engine, false, errInvalid)
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -94,7 +94,8 @@
 const (
 	// present engines are running, or began to leave at most a grace period ago.
 	present presence = iota
-	// draining engines began to drain more than drainingGrace ago; a request to them counts as one to an engine that left.
+	// draining engines began to drain more than drainingGrace ago. The platform treats a request to them like one to an
+	// engine that left.
 	draining
 	// absent engines have no record any more.
 	absent
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -218,8 +218,8 @@
 	engine.fullUntil = time.Now().Add(fullBackoff)
 }
 
-// markGone opens the breaker of an engine whose address now belongs to another engine.
-func (r *Registry) markGone(engine *Engine) {
+// markMisdirected opens the breaker of an engine whose address now belongs to another engine.
+func (r *Registry) markMisdirected(engine *Engine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	engine.breaker.failed(time.Now(), true)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -387,7 +387,7 @@
 	select {
 	case <-left:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the engine call was not cancelled within 500 ms")
+		t.Fatal("the engine call was not canceled within 500 ms")
 	}
 }
 
--- a/internal/turnstore/client.go
+++ b/internal/turnstore/client.go
@@ -308,7 +308,7 @@
 	}
 }
 
-// openInShard retries with the newer set whenever a replica returns one.
+// openInShard opens a turn at the replicas of a shard. It starts over with the newer set whenever a replica returns one.
 func (c *Client) openInShard(ctx context.Context, shard int, params OpenParams, opened *OpenedTurn, wantText bool) error {
 	for {
 		set := c.setOf(shard)
--- a/internal/turnstore/pull.go
+++ b/internal/turnstore/pull.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// setInFlight reports whether the value changed.
+// setInFlight sets progress.inFlight and reports whether it changed.
 func (r *Replica) setInFlight(progress *peerProgress, inFlight bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -247,7 +247,8 @@
 	return missing
 }
 
-// fetch reports whether all requested records have arrived and are synced.
+// fetch requests records from a peer and reports whether all requests succeeded and what they returned is synced. A peer
+// leaves out records that it no longer holds.
 func (r *Replica) fetch(ctx context.Context, member Member, progress *peerProgress, keys []conversation.Key) bool {
 	for len(keys) > 0 {
 		batch := keys[:min(len(keys), fetchKeys)]
@@ -295,7 +296,8 @@
 	return r.pulledReadQuorum(time.Time{})
 }
 
-// pulledReadQuorum reports whether such pulls were requested after since. During a change, each acknowledged record is
+// pulledReadQuorum reports whether this replica has pulled from a read quorum of complete members, or from all members,
+// in pulls that were requested after since. During a change, each acknowledged record is
 // on enough of the current members, so the next members need not be contacted: one of them may be lost, and one may be
 // this replica itself. The caller holds the mutex.
 func (r *Replica) pulledReadQuorum(since time.Time) bool {
