--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -218,8 +218,8 @@
 	engine.fullUntil = time.Now().Add(fullBackoff)
 }
 
-// markGone opens the breaker of an engine whose address now belongs to another engine.
-func (r *Registry) markGone(engine *Engine) {
+// markMisdirected opens the breaker of an engine whose address now belongs to another engine.
+func (r *Registry) markMisdirected(engine *Engine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	engine.breaker.failed(time.Now(), true)
@@ -234,9 +234,10 @@
 	}
 }
 
-func (r *Registry) failed(engine *Engine, severe bool, cause error) {
+// failed records a failure of an engine. openAtOnce opens its breaker whatever its earlier outcomes.
+func (r *Registry) failed(engine *Engine, openAtOnce bool, cause error) {
 	r.mutex.Lock()
-	opened := engine.breaker.failed(time.Now(), severe)
+	opened := engine.breaker.failed(time.Now(), openAtOnce)
 	openFor := engine.breaker.openFor
 	r.mutex.Unlock()
 	if opened {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -293,7 +293,7 @@
 	assert.Equal(t, cluster.engines["e"].runs.Load(), int64(3))
 }
 
-// The end of a kept turn is sent only once it is stored; without replicas the response is
+// The end of a turn on a route that stores turns is sent only once it is stored; without replicas the response is
 // interrupted.
 func TestUnstoredTurnIsInterrupted(t *testing.T) {
 	t.Parallel()
@@ -387,7 +387,7 @@
 	select {
 	case <-left:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the engine call was not cancelled within 500 ms")
+		t.Fatal("the engine call was not canceled within 500 ms")
 	}
 }
 
