--- a/internal/emulator/application.go
+++ b/internal/emulator/application.go
@@ -62,7 +62,7 @@
 		return
 	case FaultsPath:
 		var faults ApplicationFaults
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&faults); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&faults); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -74,7 +74,7 @@
 }
 
 func (a *Application) handleRequest(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/emulator/model_test.go
+++ b/internal/emulator/model_test.go
@@ -31,13 +31,13 @@
 	return total, tokens
 }
 
-// TestOneRequestAlone checks the closed form: chunked prefill, then one step per token.
+// TestOneRequestAlone checks the duration of a single request: chunked prefill, then one step per token.
 func TestOneRequestAlone(t *testing.T) {
 	config := DefaultConfig()
 	model := NewModel(config)
 	model.Submit(Request{ID: "a", PromptTokens: 1000, OutputTokens: 50})
 	duration, tokens := runToIdle(model)
-	// The step that completes the prefill generates the first token.
+	// The prefill takes two chunks; the step that completes it also generates the first token.
 	steps := 2 + 50 - 1
 	assert.Equal(t, duration, time.Duration(steps)*config.StepBase+1000*config.PrefillPerToken)
 	assert.Equal(t, tokens["a"], 50)
@@ -58,7 +58,7 @@
 }
 
 // TestCacheAtExactCapacity checks the LRU limits: a working set of the cache's size always hits after the
-// first pass; a larger one, used in rotation, never hits.
+// first pass; a larger one, accessed cyclically, never hits.
 func TestCacheAtExactCapacity(t *testing.T) {
 	config := DefaultConfig()
 	config.CacheBlocks = 40
--- a/internal/emulator/orders.go
+++ b/internal/emulator/orders.go
@@ -14,9 +14,9 @@
 // loadRetryInterval is the delay before weights are downloaded again after a failure.
 const loadRetryInterval = 200 * time.Millisecond
 
-// modelSlot is the loaded model; Server.mutex guards it. An engine that has never received an order
-// serves every model.
-type modelSlot struct {
+// loadedModel is the loaded model and the load in progress; Server.mutex guards it. An engine that has never
+// received an order serves every model.
+type loadedModel struct {
 	state engine.ModelState
 	// ordered is set by the first order.
 	ordered bool
@@ -25,7 +25,7 @@
 }
 
 // serves reports whether the engine can run requests for the model.
-func (m *modelSlot) serves(model string) bool {
+func (m *loadedModel) serves(model string) bool {
 	return !m.ordered || m.state.Loading == "" && m.state.Model == model
 }
 
@@ -33,7 +33,7 @@
 func (s *Server) ModelState() engine.ModelState {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.slot.state
+	return s.loaded.state
 }
 
 func (s *Server) handleOrderState(w http.ResponseWriter, _ *http.Request) {
@@ -42,7 +42,7 @@
 
 func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&order); err != nil || order.Model == "" {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&order); err != nil || order.Model == "" {
 		http.Error(w, "invalid order, or order without a model", http.StatusBadRequest)
 		return
 	}
@@ -59,23 +59,23 @@
 func (s *Server) acceptOrder(order engine.Order) (engine.ModelState, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if order.Token <= s.slot.state.Token {
+	if order.Token <= s.loaded.state.Token {
 		s.refusedOrders++
-		return s.slot.state, false
+		return s.loaded.state, false
 	}
-	s.slot.state.Token = order.Token
-	if s.slot.ordered && s.slot.state.Model == order.Model && s.slot.state.Loading == "" {
-		return s.slot.state, true
+	s.loaded.state.Token = order.Token
+	if s.loaded.ordered && s.loaded.state.Model == order.Model && s.loaded.state.Loading == "" {
+		return s.loaded.state, true
 	}
-	if s.slot.cancel != nil {
-		s.slot.cancel()
+	if s.loaded.cancel != nil {
+		s.loaded.cancel()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.slot.ordered, s.slot.cancel = true, cancel
-	s.slot.state.Loading = order.Model
+	s.loaded.ordered, s.loaded.cancel = true, cancel
+	s.loaded.state.Loading = order.Model
 	s.loads++
 	go s.load(ctx, order)
-	return s.slot.state, true
+	return s.loaded.state, true
 }
 
 // load retries the download of weights until it succeeds or a newer order cancels it.
@@ -94,7 +94,8 @@
 	if ctx.Err() != nil {
 		return
 	}
-	s.slot.state.Model, s.slot.state.Loading = order.Model, ""
+	s.loaded.state.Model, s.loaded.state.Loading = order.Model, ""
+	// Blocks of the previous model are of no use to the new one.
 	s.model.cache.clearIdle()
 }
 
--- a/internal/emulator/run_faults.go
+++ b/internal/emulator/run_faults.go
@@ -32,9 +32,9 @@
 	return []FaultKind{FaultCut, FaultStatus, FaultUnavailable, FaultEmpty, FaultErrorEvent}
 }
 
-// RunFaults injects faults into a fraction of the runs. The fault of a run depends only on the seed, the prompt and the
-// number of runs of that prompt on this engine since the faults were set: a retry may get another fault, while repeating
-// a test gives the same faults.
+// RunFaults injects faults into a fraction of the runs. The fault of a run depends only on the seed, the prompt, whether
+// the run continues a partial answer, and the number of runs of that prompt on this engine since the faults were set: a
+// retry may get another fault, while repeating a test gives the same faults.
 type RunFaults struct {
 	Seed uint64 `json:"seed,omitempty"`
 	// First and Continued are the fractions of failing runs, 0 to 1, among new answers and among continuations of a
@@ -61,7 +61,7 @@
 // runKey identifies a run for the choice of its fault.
 type runKey struct {
 	promptHash uint64
-	// arrival counts the runs of the prompt.
+	// arrival is the number of the run among those of the prompt, from 1.
 	arrival int
 	// continued is set if the run continues a partial answer.
 	continued bool
@@ -91,7 +91,8 @@
 	return runFault{kind: kinds[random.IntN(len(kinds))], afterTokens: random.IntN(tokens)}
 }
 
-// failBeforeStream responds to a run that fails before its first token, and reports whether it did.
+// failBeforeStream responds to an accepted run that fails before its first token, and reports whether it did.
+// Server.submit handles FaultUnavailable, since such a run is not accepted.
 func (c *completion) failBeforeStream(w http.ResponseWriter) bool {
 	switch c.fault.kind {
 	case FaultStatus:
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -14,11 +14,11 @@
 
 // Paths of the emulator's control API.
 const (
-	LedgerPath = "/ledger"
-	StatsPath  = "/stats"
-	FaultsPath = "/faults"
-	HeldPath   = "/cache/held"
-	maxBody    = 32 << 20
+	LedgerPath   = "/ledger"
+	StatsPath    = "/stats"
+	FaultsPath   = "/faults"
+	HeldPath     = "/cache/held"
+	maxBodyBytes = 32 << 20
 )
 
 // LedgerEntry records one request that the engine accepted.
@@ -83,7 +83,7 @@
 	arrivals map[uint64]int
 	tokens   int64
 	accepted int64
-	slot     modelSlot
+	loaded   loadedModel
 	// loads and refusedOrders are reported in Stats.
 	loads, refusedOrders int64
 }
@@ -209,7 +209,7 @@
 
 func (s *Server) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&faults); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&faults); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -227,7 +227,7 @@
 
 func (s *Server) handleRelease(w http.ResponseWriter, r *http.Request) {
 	var body releaseBody
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&body); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -278,7 +278,7 @@
 
 func (s *Server) handleChat(w http.ResponseWriter, r *http.Request) {
 	var body chatBody
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&body); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -323,7 +323,7 @@
 	if s.faults.RefuseStatus != 0 {
 		return nil, s.faults.RefuseStatus
 	}
-	if !s.slot.serves(body.Model) {
+	if !s.loaded.serves(body.Model) {
 		return nil, http.StatusNotFound
 	}
 	fault := s.drawFault(runKey{promptHash: promptHash, continued: body.Continue}, max(1, totalTokens-partialTokens))
--- a/internal/simulate/client.go
+++ b/internal/simulate/client.go
@@ -22,13 +22,15 @@
 	phaseIdle
 )
 
-// Durations are in steps.
 const (
+	// Durations are in steps.
 	proposalTimeout = 60
 	maxRunSteps     = 15
 	maxIdleSteps    = 20
-	reserveTokens   = 90
-	// sequenceGapRetryDelay is the delay before a dispatch is retried while an earlier call of its program is outstanding.
+	// reserveTokens is the number of tokens that each call reserves.
+	reserveTokens = 90
+	// sequenceGapRetryDelay, in steps, is the delay before a dispatch is retried while an earlier call of its
+	// program is outstanding.
 	sequenceGapRetryDelay = 10
 )
 
@@ -43,7 +45,7 @@
 	sequence uint64
 }
 
-// client is a gateway with one caller. It admits, dispatches, sends and completes calls, one at a time,
+// client is a gateway together with its only caller. It admits, dispatches, sends and completes calls, one at a time,
 // and retries commands whose results don't arrive in time.
 type client struct {
 	sim    *simulation
@@ -113,6 +115,7 @@
 	}
 	switch c.phase {
 	case phaseNew:
+		// No call starts once the faults have ended; see simulation.settle.
 		if c.sim.options.Faults != (Faults{}) {
 			c.begin()
 		}
@@ -225,6 +228,7 @@
 	c.op.returned, c.op.sequence = c.sim.step, result.Call.Sequence
 	c.call.Sequence = result.Call.Sequence
 	c.phase = phaseDispatch
+	// Some callers cancel before the dispatch.
 	if c.sim.random.IntN(8) == 0 {
 		c.phase = phaseFail
 	}
--- a/internal/simulate/ledger.go
+++ b/internal/simulate/ledger.go
@@ -116,7 +116,7 @@
 	return strings.Contains(answer, `"answer to `+callID+`"`)
 }
 
-// admissionInput and admissionOutput are the operations of the sequential model, in which a program's
+// admissionInput and admissionOutput describe an operation of the sequential model, in which a program's
 // admissions get consecutive sequence numbers.
 type admissionInput struct{ program program.Key }
 
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -25,7 +25,8 @@
 	assert.Assert(t, completed > 0 && elections > seedCount, "%d calls, %d elections", completed, elections)
 }
 
-// TestEachFaultAlone checks each kind of fault by itself, crashes and member changes with compaction, on five replicas.
+// TestEachFaultAlone checks each kind of fault by itself on five replicas. Crashes and member changes are combined with
+// compaction, so that replicas also recover from snapshots.
 func TestEachFaultAlone(t *testing.T) {
 	kinds := map[string]simulate.Faults{
 		"drop":      {Drop: true},
@@ -52,7 +53,7 @@
 func TestChecksCanFail(t *testing.T) {
 	defects := map[string]struct {
 		enabled simulate.Defects
-		// firstSeed is close to a seed that detects the defect.
+		// firstSeed is the first seed tried; it shortens the search for one that detects the defect.
 		firstSeed uint64
 	}{
 		"send before commit": {simulate.Defects{SendBeforeCommit: true}, 1},
--- a/internal/simulate/simulation.go
+++ b/internal/simulate/simulation.go
@@ -63,7 +63,8 @@
 	return fmt.Sprintf("seed %d, step %d: %s", v.Seed, v.Step, v.Message)
 }
 
-// Report holds the counters of a run.
+// Report holds the counters of a run. Commits is the highest applied log index, Unknown the number of calls
+// without a known outcome, and MemberSteps the number of proposed changes of the group's members.
 type Report struct {
 	Steps       int
 	Commits     uint64
--- a/internal/standin/machineserver/machineserver.go
+++ b/internal/standin/machineserver/machineserver.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// MachinesPath lists the machines with GET and changes one with PUT.
 const (
+	// MachinesPath lists the machines with GET and changes one with PUT.
 	MachinesPath = "/machines"
-	maxBody      = 1 << 20
+	maxBodyBytes = 1 << 20
 )
 
 // State is the platform's state of a machine.
@@ -58,7 +58,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Set changes one machine after the server's delay.
+// Set changes the state of one machine. The change becomes visible after the server's delay.
 func (s *Server) Set(machine Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -93,7 +93,7 @@
 
 func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
 	var machine Machine
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&machine); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&machine); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/internal/standin/storeserver/storeserver.go
+++ b/internal/standin/storeserver/storeserver.go
@@ -24,16 +24,16 @@
 	LeaseKeepAlivePath = "/v3/lease/keepalive"
 	LeaseRevokePath    = "/v3/lease/revoke"
 	CountsPath         = "/counts"
-	maxBody            = 32 << 20
+	maxBodyBytes       = 32 << 20
 )
 
 // Faults selects the faults that the store injects.
 type Faults struct {
-	// Down rejects every request with status 503.
+	// Down rejects every request with status 503 and ends the watches.
 	Down bool `json:"down,omitempty"`
 	// DelayMillis delays every request by this number of milliseconds.
 	DelayMillis int `json:"delay_ms,omitempty"`
-	// LoseAnswers executes transactions and then aborts the connection without a response.
+	// LoseAnswers executes transactions, but loses their responses: it aborts the connection instead.
 	LoseAnswers bool `json:"lose_answers,omitempty"`
 	// DropEvents drops watch events.
 	DropEvents bool `json:"drop_events,omitempty"`
@@ -162,10 +162,7 @@
 	Message string `json:"message"`
 }
 
-// grpcUnavailable is the gRPC status code UNAVAILABLE.
-const (
-	grpcUnavailable = 14
-)
+const grpcUnavailable = 14
 
 func writeError(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Content-Type", "application/json")
@@ -180,7 +177,7 @@
 
 func decode[Body any](w http.ResponseWriter, r *http.Request) (Body, bool) {
 	var body Body
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&body); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&body); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return body, false
 	}
--- a/internal/standin/toolserver/toolserver.go
+++ b/internal/standin/toolserver/toolserver.go
@@ -9,11 +9,13 @@
 	"time"
 )
 
-// CallPath accepts tool calls. HangPath makes calls hang; its query parameter on=false ends that.
 const (
+	// CallPath accepts tool calls.
 	CallPath = "/call"
-	HangPath = "/hang"
-	maxBody  = 1 << 20
+	// HangPath makes calls hang; its query parameter on=false ends that.
+	HangPath     = "/hang"
+	maxBodyBytes = 1 << 20
+	// maxDelay limits the delay that a request can ask for.
 	maxDelay = time.Minute
 )
 
@@ -58,7 +60,7 @@
 
 func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
 	var request Request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&request); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/internal/standin/weightserver/weightserver.go
+++ b/internal/standin/weightserver/weightserver.go
@@ -11,9 +11,9 @@
 
 const (
 	// WeightsPath is the prefix of the path of a model's weights; the model's name follows.
-	WeightsPath = "/weights/"
-	chunkBytes  = 64 << 10
-	maxSize     = 1 << 30
+	WeightsPath    = "/weights/"
+	chunkBytes     = 64 << 10
+	maxWeightBytes = 1 << 30
 )
 
 // Server serves weights as an http.Handler.
@@ -23,9 +23,9 @@
 	size    int64
 }
 
-// New returns a Server whose models have the given size in bytes, at most maxSize.
+// New returns a Server whose models have the given size in bytes, at most maxWeightBytes.
 func New(size, bytesPerSecond int64) *Server {
-	server := &Server{mux: http.NewServeMux(), limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkBytes), size: min(size, maxSize)}
+	server := &Server{mux: http.NewServeMux(), limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkBytes), size: min(size, maxWeightBytes)}
 	server.mux.HandleFunc("GET "+WeightsPath+"{model}", server.handleWeights)
 	return server
 }
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -72,7 +72,8 @@
 // bytesPerToken matches the emulator's token length.
 const bytesPerToken = 4
 
-// generator draws random values from one stream of a seed.
+// generator draws random values from one stream of a seed. Each program has its own stream, so that a program does not
+// depend on how many others are generated.
 type generator struct {
 	random  *rand.Rand
 	options Options
@@ -87,7 +88,8 @@
 	return median * math.Exp(g.random.NormFloat64()*sigma)
 }
 
-// geometric draws from a geometric distribution from 1, cut off at upper; mean is that before the cut.
+// geometric draws from a geometric distribution on 1, 2, 3 and so on. Values above upper become upper; mean is that of
+// the distribution without this limit.
 func (g *generator) geometric(mean float64, upper int) int {
 	count := 1
 	for count < upper && g.random.Float64() > 1/mean {
@@ -104,7 +106,7 @@
 	return time.Duration(g.logNormal(float64(median)*g.options.TimeScale, sigma))
 }
 
-// text returns random words with a length of the given number of tokens.
+// text returns random words with a total length of the given number of tokens.
 func (g *generator) text(tokens int) string {
 	var builder strings.Builder
 	for builder.Len() < tokens*bytesPerToken {
@@ -165,7 +167,7 @@
 	return turn
 }
 
-// subAgent returns a short child program.
+// subAgent returns the short program of a sub-agent.
 func (g *generator) subAgent(parent Program, number int) Program {
 	child := Program{
 		Name:   fmt.Sprintf("%s/sub-%d-%d", parent.Name, number, g.random.IntN(1<<20)),
