--- a/cmd/mountstile-lab/main.go
+++ b/cmd/mountstile-lab/main.go
@@ -107,8 +107,8 @@
 // Error implements error.
 func (e *errNotLoopback) Error() string { return e.Address + " is not a loopback address" }
 
-// serve serves HTTP on a loopback address until SIGINT or SIGTERM. It runs background, if set, with
-// a context that is cancelled then.
+// serve serves HTTP on a loopback address until SIGINT or SIGTERM. It also runs background, if set, with
+// a context that these signals cancel.
 func (s listenOptions) serve(name string, handler http.Handler, background func(context.Context)) error {
 	ctx, cancel := signalContext()
 	defer cancel()
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -54,7 +54,7 @@
 	LogLevel  logrus.Level
 }
 
-// Cluster is a system that runs in this process.
+// Cluster is a cluster whose nodes, engines and other services run in this process.
 type Cluster struct {
 	Store        *storeserver.Server
 	StoreURL     string
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -36,11 +36,11 @@
 const (
 	startTimeout = 20 * time.Second
 	runTimeout   = 60 * time.Second
-	startWindow  = 4 * time.Second // programs start within it
-	timeScale    = 0.12            // multiplies the workload's pauses
+	startWindow  = 4 * time.Second // all programs start within it
+	timeScale    = 0.12            // factor on the workload's pauses
 )
 
-// ErrProgramsFailed reports programs that did not finish, with the number of each error.
+// ErrProgramsFailed reports how many of a tenant's programs did not finish, and how often each error occurred.
 type ErrProgramsFailed struct {
 	Count  int64
 	Errors map[string]int64
@@ -72,7 +72,7 @@
 	system, err := cluster.Start(startContext, clusterOptions)
 	defer system.Stop()
 	if err != nil {
-		return errors.Wrap(err, "starting the system")
+		return errors.Wrap(err, "starting the cluster")
 	}
 	if err := runWorkload(ctx, options, system); err != nil {
 		return err
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -22,12 +22,12 @@
 	hanging bool
 	// stepFactor multiplies the time of a step.
 	stepFactor float64
-	// lostCache sums the statistics of the caches before each crash.
-	lostCache emulator.CacheStats
+	// statsBeforeCrash sums the statistics of the caches that were lost in crashes.
+	statsBeforeCrash emulator.CacheStats
 }
 
-// simulatedJob is a request at an engine. The signal first fires with the first token, and done with the
-// last; both fire if the engine crashes.
+// simulatedJob is a request at an engine. Its first token fires the signal first, and its last token the
+// signal done; a crash of the engine fires both.
 type simulatedJob struct {
 	first     clock.Signal
 	done      clock.Signal
@@ -41,7 +41,8 @@
 	return &simulatedEngine{clock: virtual, config: config, model: emulator.NewModel(config), jobs: make(map[string]*simulatedJob), wake: virtual.NewSignal(), stepFactor: 1}
 }
 
-// run steps the model until it has been idle for clock.Forever.
+// run steps the model while it has requests, and otherwise waits for the next one. It returns at the end of the
+// simulation, when no task is left that could submit one.
 func (e *simulatedEngine) run() {
 	for {
 		if e.down || e.hanging || !e.model.Busy() {
@@ -110,7 +111,7 @@
 // crash drops the engine's cache and fails its running requests.
 func (e *simulatedEngine) crash() {
 	e.down = true
-	e.lostCache = e.lostCache.Add(e.model.Cache())
+	e.statsBeforeCrash = e.statsBeforeCrash.Add(e.model.Cache())
 	e.model = emulator.NewModel(e.config)
 	// A fixed order keeps the simulation deterministic.
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
@@ -127,5 +128,7 @@
 	e.wake.Fire()
 }
 
-// cache is the cache statistics since the start, including those before crashes.
-func (e *simulatedEngine) cache() emulator.CacheStats { return e.lostCache.Add(e.model.Cache()) }
+// cacheStats returns the cache statistics since the start, including those before crashes.
+func (e *simulatedEngine) cacheStats() emulator.CacheStats {
+	return e.statsBeforeCrash.Add(e.model.Cache())
+}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -28,7 +28,7 @@
 	Cache  emulator.CacheStats
 	// Seconds is the time from the start of the run to the end of the last program.
 	Seconds float64
-	// Demand is the work of all programs in seconds of one saturated engine; see the function Demand.
+	// Demand is the sum of the function Demand over all programs, in seconds.
 	Demand float64
 }
 
@@ -44,7 +44,7 @@
 	return runAll(ctx, file, progress, runOnCluster)
 }
 
-// RunVirtual is Run on a simulation in virtual time, without nodes and network.
+// RunVirtual does the same as Run on a simulation in virtual time, without nodes and network.
 func RunVirtual(ctx context.Context, file File, progress io.Writer) ([]Sample, error) {
 	return runAll(ctx, file, progress, runVirtual)
 }
@@ -99,8 +99,8 @@
 	})
 }
 
-// limitDemand returns the first programs whose demand doesn't exceed maxDemand. It returns true if a
-// program was left out.
+// limitDemand returns as many of the first programs as have a total demand of at most maxDemand. reached reports
+// whether a program was left out.
 func limitDemand(generated []workload.Program, engine emulator.Config, maxDemand float64) (programs []workload.Program, demand float64, reached bool) {
 	for _, program := range generated {
 		need := Demand(program, engine)
@@ -115,23 +115,24 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// stepSeconds is the duration of a decoding step with a full batch and no prefill.
+// stepSeconds returns the duration of a decoding step with a full batch and no prefill.
 func stepSeconds(config emulator.Config) float64 {
 	return (config.StepBase + time.Duration(config.MaxBatch-1)*config.StepPerSequence).Seconds()
 }
 
-const charactersPerToken = 4
+// bytesPerToken matches the emulator's token length.
+const bytesPerToken = 4
 
-// Demand is the time in seconds that a saturated engine spends on a program if every prefix is
+// Demand returns the time in seconds that a saturated engine spends on a program if every prefix is
 // cached: each generated token takes its share of the step of a full batch, and each new token of a
 // prompt is computed once.
 func Demand(program workload.Program, config emulator.Config) float64 {
 	perToken := stepSeconds(config) / float64(config.MaxBatch)
-	demand := float64(len(program.System)/charactersPerToken) * config.PrefillPerToken.Seconds()
+	demand := float64(len(program.System)/bytesPerToken) * config.PrefillPerToken.Seconds()
 	for _, turn := range program.Turns {
 		for _, step := range turn.Steps {
 			demand += float64(step.OutputTokens) * (perToken + config.PrefillPerToken.Seconds())
-			demand += float64(len(step.UserText)/charactersPerToken) * config.PrefillPerToken.Seconds()
+			demand += float64(len(step.UserText)/bytesPerToken) * config.PrefillPerToken.Seconds()
 			for _, child := range step.SubAgents {
 				demand += Demand(child, config)
 			}
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -16,7 +16,7 @@
 	Filter string `yaml:"filter"`
 	Score  string `yaml:"score"`
 	Rank   string `yaml:"rank"`
-	// Patience is in seconds.
+	// Patience is an expression for a number of seconds; see resource.Policy.
 	Patience string `yaml:"patience"`
 	// Slots is the number of slots of each engine. With a large number, calls queue at the engines
 	// instead of at the scheduler, as with an ordinary load balancer. 0 means the default.
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -34,6 +34,7 @@
 	chart.Y.Label.Text = "share of programs"
 	chart.Legend.Top, chart.Legend.Left = false, false
 	for index, policy := range file.Policies {
+		// The upper limit is an hour in microseconds, as in runner.Result.
 		merged := hdrhistogram.New(1, 3_600_000_000, 3)
 		for _, sample := range samples {
 			if sample.Policy == policy.Name && sample.Load == load {
@@ -53,7 +54,7 @@
 	return errors.Wrap(chart.Save(plotWidth, plotHeight, name), "saving a plot")
 }
 
-// distribution is the cumulative distribution of a histogram of microseconds, in seconds.
+// distribution returns the cumulative distribution of a histogram of microseconds, in seconds.
 func distribution(histogram *hdrhistogram.Histogram) plotter.XYs {
 	points := make(plotter.XYs, 0, 100)
 	for percent := 1; percent <= 99; percent++ {
--- a/internal/lab/experiment/simulation.go
+++ b/internal/lab/experiment/simulation.go
@@ -27,7 +27,7 @@
 const (
 	// nodeDelay is the latency that the nodes add to a call.
 	nodeDelay = 1500 * time.Microsecond
-	// reserveDelay is a round trip between zones, to the owner of an engine.
+	// reserveDelay is the latency of a reservation: a round trip to the engine's owner in another zone.
 	reserveDelay = time.Millisecond
 	// sweepInterval is how often owners sweep abandoned reservations.
 	sweepInterval = 500 * time.Millisecond
@@ -75,7 +75,7 @@
 		s.ended = true
 	})
 	for _, engine := range s.engines {
-		sample.Cache = sample.Cache.Add(engine.cache())
+		sample.Cache = sample.Cache.Add(engine.cacheStats())
 	}
 	return sample, nil
 }
@@ -263,7 +263,7 @@
 			Sequence: uint64(call.Sequence), IdempotencyKey: call.IdempotencyKey, Repeatable: true, Messages: added,
 			Limits: program.Limits{TokenBudget: unlimited, CallBudget: unlimited, IdleMillis: unlimited, MaxMillis: unlimited},
 		},
-		PromptTokens: int64(text.Len() / charactersPerToken), MaxTokens: int64(call.Tokens),
+		PromptTokens: int64(text.Len() / bytesPerToken), MaxTokens: int64(call.Tokens),
 	}
 	result := s.execute(program.Command{Admit: &request.Admit})
 	if result.Error != nil {
--- a/internal/lab/experiment/simulation_test.go
+++ b/internal/lab/experiment/simulation_test.go
@@ -12,14 +12,14 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// runVirtualExperiment runs one repeat of an experiment file in virtual time, at one load and with
-// programs that start within span seconds. The result is deterministic.
-func runVirtualExperiment(t *testing.T, name string, load, span float64, policies ...string) map[string]PolicySummary {
+// runVirtualExperiment runs one repeat of an experiment file in virtual time with the named policies, at
+// one load. Programs start within the first spanSeconds. The result is deterministic.
+func runVirtualExperiment(t *testing.T, name string, load, spanSeconds float64, policies ...string) map[string]PolicySummary {
 	t.Helper()
 	file, err := Load(filepath.Join("../../../experiments", name))
 	assert.NilError(t, err)
 	file = file.InVirtualTime()
-	file.Repeats, file.Seconds, file.Loads = 1, span, []float64{load}
+	file.Repeats, file.Seconds, file.Loads = 1, spanSeconds, []float64{load}
 	var selected []PolicyEntry
 	for _, entry := range file.Policies {
 		for _, wanted := range policies {
@@ -58,14 +58,14 @@
 
 // TestEngineFaultsFailNoProgram crashes or hangs one engine after the other. All programs must complete.
 func TestEngineFaultsFailNoProgram(t *testing.T) {
-	cases := map[string]struct{ load, span float64 }{
+	cases := map[string]struct{ load, spanSeconds float64 }{
 		"failures.yaml": {0.95, 50},
 		"hang.yaml":     {0.7, 30},
 	}
 	for name, item := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			row := runVirtualExperiment(t, name, item.load, item.span, "brindleway-latency")["brindleway-latency"]
+			row := runVirtualExperiment(t, name, item.load, item.spanSeconds, "brindleway-latency")["brindleway-latency"]
 			assert.Assert(t, row.Programs > 100)
 			assert.Equal(t, row.Completed, row.Programs)
 		})
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -85,6 +85,7 @@
 
 func summarizePolicy(samples []Sample) PolicySummary {
 	result := PolicySummary{WastedLow: math.Inf(1)}
+	// The upper limit is an hour in microseconds, as in runner.Result.
 	program := hdrhistogram.New(1, 3_600_000_000, 3)
 	turn := hdrhistogram.New(1, 3_600_000_000, 3)
 	first := hdrhistogram.New(1, 3_600_000_000, 3)
@@ -123,7 +124,7 @@
 	return Quantiles{P50: milliseconds(histogram, 50), P95: milliseconds(histogram, 95), P99: milliseconds(histogram, 99)}
 }
 
-// jainIndex is Jain's fairness index of the recorded values.
+// jainIndex returns Jain's fairness index of the recorded values.
 func jainIndex(histogram *hdrhistogram.Histogram) float64 {
 	mean, deviation := histogram.Mean(), histogram.StdDev()
 	if mean == 0 {
--- a/internal/lab/modelbench/modelbench.go
+++ b/internal/lab/modelbench/modelbench.go
@@ -26,25 +26,25 @@
 	// Engines is the number of engines, with Slots each.
 	Engines int
 	Slots   int
-	// CallsPerSecond is the mean rate of a Poisson process. FavouredShare of the calls are for the
-	// favoured model.
+	// CallsPerSecond is the mean rate of calls, which arrive as a Poisson process.
 	CallsPerSecond float64
-	FavouredShare  float64
+	// FavouredShare is the fraction of calls for the favoured model, 0 to 1.
+	FavouredShare float64
 	// Tokens is the length of each answer.
 	Tokens int
 	// PhaseDuration is how long each model is the favoured one.
 	PhaseDuration time.Duration
 	// LoadSeconds is how long an engine takes to load a model's weights if no other engine loads.
 	LoadSeconds float64
-	// AtOnce is how many engines may load at the same time.
+	// AtOnce is the maximum number of engines that load at the same time.
 	AtOnce int
-	// HoldSeconds is how long an engine keeps a model at least.
+	// HoldSeconds is the minimum time for which an engine keeps a model.
 	HoldSeconds float64
 	Seed        uint64
 	Progress    func(format string, args ...any)
 }
 
-// Result is what the callers of one setup observed.
+// Result is what the callers of one setup observed. Latencies are in milliseconds.
 type Result struct {
 	Calls   int     `json:"calls"`
 	Refused int     `json:"refused"`
@@ -179,7 +179,7 @@
 	return loads
 }
 
-// sendCalls sends the calls of both phases at their arrival times, whether or not earlier calls are done.
+// sendCalls sends the calls of both phases open-loop: at their arrival times, whether or not earlier calls are done.
 func sendCalls(ctx context.Context, options Options, system *cluster.Cluster) Result {
 	random := rand.New(rand.NewPCG(options.Seed, 1))
 	client := runner.NewClient(apiKey)
--- a/internal/lab/pathbench/pathbench.go
+++ b/internal/lab/pathbench/pathbench.go
@@ -29,11 +29,11 @@
 type Result struct {
 	Call              Latency `json:"call_ms"`
 	FirstTokenLatency Latency `json:"first_token_ms"`
-	// CallsPerSecond and CoreMicros are of concurrent callers. The CPU time is that of the whole
-	// process, including engine and callers.
+	// CallsPerSecond and CPUMicros, the CPU time for one call, are measured with concurrent callers. The CPU
+	// time is that of the whole process, including engine and callers.
 	CallsPerSecond float64 `json:"calls_per_second"`
-	CoreMicros     float64 `json:"core_us_per_call"`
-	// StreamBytes is the live memory for each open stream, including engine and caller.
+	CPUMicros      float64 `json:"core_us_per_call"`
+	// StreamBytes is the memory in use for each open stream, including engine and caller.
 	StreamBytes float64 `json:"bytes_per_stream"`
 }
 
@@ -45,7 +45,7 @@
 	// AddedFirstToken and AddedCall are differences between the percentiles of both paths.
 	AddedFirstToken Latency `json:"added_first_token_ms"`
 	AddedCall       Latency `json:"added_call_ms"`
-	AddedCoreMicros float64 `json:"added_core_us_per_call"`
+	AddedCPUMicros  float64 `json:"added_core_us_per_call"`
 	// AddedStreamBytes is the memory that the nodes hold for each open stream.
 	AddedStreamBytes float64 `json:"added_bytes_per_stream"`
 }
@@ -68,7 +68,8 @@
 	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
 	apiKey            = "bench.k." + cluster.DemoSecret
-	// openStreams is the number of streams that are open, slowed down, while memory is measured.
+	// openStreams is the number of streams that are open while memory is measured. The engine's steps take
+	// streamSlowdown times as long then, so that no stream ends before.
 	openStreams    = 200
 	streamSlowdown = 2000
 	pollInterval   = 20 * time.Millisecond
@@ -145,7 +146,7 @@
 			if err != nil {
 				return err
 			}
-			// A value within the histogram's range can't fail.
+			// Recording a value within the histogram's range can't fail.
 			_ = path.call.RecordValue(min(reply.Latency.Microseconds(), maxLatencyMicros))
 			_ = path.firstToken.RecordValue(min(reply.FirstTokenLatency.Microseconds(), maxLatencyMicros))
 		}
@@ -164,7 +165,7 @@
 	return Latency{P50: l.P50 - other.P50, P99: l.P99 - other.P99}
 }
 
-// cpuTime is the user and system time that this process has used.
+// cpuTime returns the user and system time that this process has used.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -198,11 +199,11 @@
 		}
 	}
 	p.result.CallsPerSecond = float64(done.Load()) / time.Since(started).Seconds()
-	p.result.CoreMicros = float64((cpuTime() - cpu).Microseconds()) / float64(done.Load())
+	p.result.CPUMicros = float64((cpuTime() - cpu).Microseconds()) / float64(done.Load())
 	return nil
 }
 
-// liveBytes is the heap and stack memory in use after a garbage collection.
+// liveBytes returns the heap and stack memory in use after a garbage collection.
 func liveBytes() float64 {
 	runtime.GC()
 	var memory runtime.MemStats
@@ -210,7 +211,7 @@
 	return float64(memory.HeapAlloc + memory.StackInuse)
 }
 
-// measureStreamMemory measures the live memory while openStreams answers are in progress.
+// measureStreamMemory measures the memory in use while openStreams answers are in progress.
 func (p *measuredPath) measureStreamMemory(ctx context.Context, client *runner.Client, options Options, system *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -244,7 +245,7 @@
 		Nodes:           nodes.result,
 		AddedFirstToken: nodes.result.FirstTokenLatency.minus(direct.result.FirstTokenLatency),
 		AddedCall:       nodes.result.Call.minus(direct.result.Call),
-		AddedCoreMicros: nodes.result.CoreMicros - direct.result.CoreMicros,
+		AddedCPUMicros:  nodes.result.CPUMicros - direct.result.CPUMicros,
 
 		AddedStreamBytes: nodes.result.StreamBytes - direct.result.StreamBytes,
 	}
--- a/internal/lab/runner/client.go
+++ b/internal/lab/runner/client.go
@@ -58,7 +58,7 @@
 	} `json:"error"`
 }
 
-// Call is a call of a model.
+// Call is a call of a model. DeltaHistory tells the node that Messages are only those after the stored history.
 type Call struct {
 	Program        string
 	Sequence       int
@@ -110,6 +110,7 @@
 	if err != nil {
 		return Reply{}, errors.Wrap(err, "building the call")
 	}
+	// Without GetBody, net/http can't resend the call by itself after a connection failure.
 	request.GetBody = nil
 	c.setHeaders(request, call)
 	started := time.Now()
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -25,8 +25,8 @@
 type Result struct {
 	mutex sync.Mutex
 	// ProgramLatency is the sum of the latencies of a program's turns, without the think time between
-	// them. TurnLatency is recorded for each turn. FirstTokenLatency is recorded for each call and
-	// includes its failed attempts.
+	// them. TurnLatency is recorded for each turn except those of sub-agents. FirstTokenLatency is recorded
+	// for each call and includes its failed attempts.
 	ProgramLatency    *hdrhistogram.Histogram
 	TurnLatency       *hdrhistogram.Histogram
 	FirstTokenLatency *hdrhistogram.Histogram
@@ -47,7 +47,7 @@
 }
 
 func (r *Result) record(histogram *hdrhistogram.Histogram, value time.Duration) {
-	// A value within the histogram's range can't fail.
+	// Recording a value within the histogram's range can't fail.
 	_ = histogram.RecordValue(min(max(1, value.Microseconds()), maxLatencyMicros))
 }
 
@@ -74,7 +74,7 @@
 
 // Options configure a run against a cluster.
 type Options struct {
-	// Nodes are the nodes' public APIs. Each request goes to a random one.
+	// Nodes are the URLs of the nodes' public APIs. Each request goes to a random one.
 	Nodes    []string
 	ToolsURL string
 	// APIKeys are the API keys by tenant.
@@ -138,7 +138,7 @@
 	})
 }
 
-// errorLabel is the key of an error in Result.Errors.
+// errorLabel returns the key of an error in Result.Errors.
 func errorLabel(err error) string {
 	var failure *ErrResponse
 	if errors.As(err, &failure) && failure.Code != "" {
--- a/internal/lab/statebench/statebench.go
+++ b/internal/lab/statebench/statebench.go
@@ -35,9 +35,9 @@
 	// OneWayMillis is the emulated one-way network delay.
 	OneWayMillis float64 `json:"one_way_ms"`
 	PerSecond    float64 `json:"per_second"`
-	// CoreMicros is the CPU time for one commit, of all replicas together.
-	CoreMicros float64 `json:"core_us_per_commit"`
-	// LatencyP50 and LatencyP99 are of sequential commits.
+	// CPUMicros is the CPU time for one commit, of all replicas together.
+	CPUMicros float64 `json:"core_us_per_commit"`
+	// LatencyP50 and LatencyP99 are measured with sequential commits, in milliseconds.
 	LatencyP50 float64 `json:"latency_ms_p50"`
 	LatencyP99 float64 `json:"latency_ms_p99"`
 }
@@ -74,7 +74,7 @@
 
 const (
 	groupID       = 1
-	concurrency   = 64
+	proposers     = 64 // goroutines that propose at the same time in the throughput measurement
 	serialCommits = 300
 	callTokens    = 16
 	startTimeout  = 30 * time.Second
@@ -93,11 +93,11 @@
 			if err != nil {
 				return report, err
 			}
-			options.Progress("%d replicas, one-way delay %s: %.0f commits/s, %.0f us CPU per commit, p50 %.2f ms, p99 %.2f ms", replicas, delay, commits.PerSecond, commits.CoreMicros, commits.LatencyP50, commits.LatencyP99)
+			options.Progress("%d replicas, one-way delay %s: %.0f commits/s, %.0f us CPU per commit, p50 %.2f ms, p99 %.2f ms", replicas, delay, commits.PerSecond, commits.CPUMicros, commits.LatencyP50, commits.LatencyP99)
 			report.Commits = append(report.Commits, commits)
 		}
 	}
-	steps := []func(context.Context, Options, *Report) error{measureTurns, measureFailover}
+	steps := []func(context.Context, Options, *Report) error{measureHistoryTraffic, measureFailover}
 	for _, step := range steps {
 		if err := step(ctx, options, &report); err != nil {
 			return report, err
@@ -163,7 +163,7 @@
 	return known && status.IsLeader
 }
 
-func waitLeader(ctx context.Context, members []groupMember) (groupMember, error) {
+func waitForLeader(ctx context.Context, members []groupMember) (groupMember, error) {
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -210,7 +210,7 @@
 	if err != nil {
 		return Commits{}, err
 	}
-	leader, err := waitLeader(ctx, members)
+	leader, err := waitForLeader(ctx, members)
 	if err != nil {
 		return Commits{}, err
 	}
@@ -242,9 +242,9 @@
 	started, cpu := time.Now(), cpuTime()
 	deadline := started.Add(time.Duration(options.Seconds * float64(time.Second)))
 	var done atomic.Int64
-	failures := make([]error, concurrency)
+	failures := make([]error, proposers)
 	var tasks sync.WaitGroup
-	for index := range concurrency {
+	for index := range proposers {
 		tasks.Go(func() {
 			for time.Now().Before(deadline) {
 				if failures[index] = propose(); failures[index] != nil {
@@ -261,7 +261,7 @@
 		}
 	}
 	result.PerSecond = float64(done.Load()) / time.Since(started).Seconds()
-	result.CoreMicros = float64((cpuTime() - cpu).Microseconds()) / float64(done.Load())
+	result.CPUMicros = float64((cpuTime() - cpu).Microseconds()) / float64(done.Load())
 	return nil
 }
 
@@ -281,8 +281,8 @@
 
 func apiKey() string { return "bench.k." + cluster.DemoSecret }
 
-// measureTurns measures the traffic between nodes for a call, for several lengths of history.
-func measureTurns(ctx context.Context, options Options, report *Report) error {
+// measureHistoryTraffic measures the traffic between nodes for a call, for several lengths of history.
+func measureHistoryTraffic(ctx context.Context, options Options, report *Report) error {
 	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	system, err := newCluster(startContext)
@@ -316,7 +316,7 @@
 	return nil
 }
 
-// sentBytes is the traffic between nodes without membership probes and heartbeats.
+// sentBytes returns the traffic between nodes without membership probes and heartbeats.
 func sentBytes(system *cluster.Cluster) int64 {
 	var total int64
 	for _, running := range system.Nodes {
@@ -375,7 +375,7 @@
 		}
 	}
 	if victim < 0 {
-		return 0, errors.WithStack(&cluster.ErrNotReady{Nodes: []string{"partition leader"}})
+		return 0, errors.WithStack(&cluster.ErrNotReady{Nodes: []string{"none leads the program's partition"}})
 	}
 	survivor := system.Nodes[(victim+1)%len(system.Nodes)]
 	started := time.Now()
@@ -411,7 +411,7 @@
 	return stats.HeapAlloc
 }
 
-// userMessage is a message of random words, which compresses about as well as natural text.
+// userMessage returns a message of random words, which compresses about as well as natural text.
 func userMessage(bytes int, number int) program.Message {
 	random := rand.New(rand.NewPCG(uint64(number), 7))
 	var text strings.Builder
--- a/internal/lab/torture/caller.go
+++ b/internal/lab/torture/caller.go
@@ -146,6 +146,7 @@
 	if err != nil {
 		return
 	}
+	// Without GetBody, net/http can't resend the call by itself after a connection failure.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	outcome := string(apierr.OutcomeUnknown)
--- a/internal/lab/torture/torture.go
+++ b/internal/lab/torture/torture.go
@@ -25,21 +25,29 @@
 
 // Violations count violated invariants. All must be zero.
 type Violations struct {
-	Lost        int `json:"lost"`
-	Doubled     int `json:"doubled"`
-	Mixed       int `json:"mixed"`
-	Reordered   int `json:"reordered"`
-	OverBudget  int `json:"over_budget"`
-	Leaked      int `json:"leaked"`
+	// Lost counts calls that failed in spite of retries, and marks that were reported as run but not executed.
+	Lost int `json:"lost"`
+	// Doubled counts marks that were executed more than once.
+	Doubled int `json:"doubled"`
+	// Mixed counts answers that don't belong to their conversation.
+	Mixed int `json:"mixed"`
+	// Reordered counts calls that reached an engine after a later call of their program.
+	Reordered int `json:"reordered"`
+	// OverBudget counts programs that used and reserved more tokens than their budget.
+	OverBudget int `json:"over_budget"`
+	// Leaked counts caches of ended programs that engines did not release.
+	Leaked int `json:"leaked"`
+	// FalseNotRun counts marks that were reported as not run but executed.
 	FalseNotRun int `json:"false_not_run"`
 }
 
-// Total is the number of violations of all kinds.
+// Total returns the number of violations of all kinds.
 func (v Violations) Total() int {
 	return v.Lost + v.Doubled + v.Mixed + v.Reordered + v.OverBudget + v.Leaked + v.FalseNotRun
 }
 
-// Report is the result of a run. Marks are calls of an application that must not run twice.
+// Report is the result of a run. Marks are calls of an application that must not run twice. Refused counts failed attempts
+// that were reported as not run, Unknown the other failed attempts, and Changes the published configuration changes.
 type Report struct {
 	Seed       uint64         `json:"seed"`
 	Seconds    float64        `json:"seconds"`
--- a/internal/lab/torture/verify.go
+++ b/internal/lab/torture/verify.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// listPrograms returns the programs of all coordinators, and the nodes that did not respond.
+// listPrograms returns the programs of all partitions, and the nodes that did not respond. If the request fails, it
+// returns the error's text in their place.
 func (r *run) listPrograms(ctx context.Context) ([]program.Summary, []string) {
 	list, err := r.system.Admin.Programs(ctx, "torture")
 	if err != nil {
