--- a/test/path/repeat_test.go
+++ b/test/path/repeat_test.go
@@ -107,6 +107,7 @@
 	reader := bufio.NewReader(response.Body)
 	line, err := reader.ReadString('\n')
 	assert.NilError(t, err)
+	// The text of the first token begins with its number; see emulator.ExpectedAnswer.
 	assert.Assert(t, strings.Contains(line, " 1:"), "expected the text so far while the engine hangs: %s", line)
 	system.Engines["m1"].SetFaults(emulator.Faults{})
 	repeated, err := runner.ReadStream(io.MultiReader(strings.NewReader(line), reader))
--- a/test/path/resume_test.go
+++ b/test/path/resume_test.go
@@ -39,7 +39,7 @@
 type scriptedAttempt struct {
 	http.ResponseWriter
 	attempt string
-	// offset is how many chunks the caller already has.
+	// offset is the number of chunks that the caller already has, sent the number that this attempt has sent.
 	offset int
 	sent   int
 	// usageInEvents adds the usage so far to each event.
@@ -77,7 +77,7 @@
 // usage sends a final event with the usage.
 func (r *scriptedAttempt) usage() { r.sendEvent(`{"choices":[],` + r.usageField() + `}`) }
 
-// done sends the end mark.
+// done sends the end mark, [DONE].
 func (r *scriptedAttempt) done() { r.sendEvent("[DONE]") }
 
 // rest sends the correct continuation.
@@ -187,7 +187,7 @@
 type scriptedServer struct {
 	scripts map[string]script
 	mutex   sync.Mutex
-	// offsets are the chunks that the caller already had at each attempt, by model.
+	// offsets are the numbers of chunks that the caller already had at each attempt, by model.
 	offsets map[string][]int
 }
 
@@ -271,7 +271,7 @@
 	return scriptedCluster{Cluster: system, server: server}
 }
 
-// callResult is what the caller of a scripted model received.
+// callResult is what the caller of a scripted model received; text is the whole body, content that of the answer.
 type callResult struct {
 	status  int
 	text    string
@@ -317,7 +317,7 @@
 	return s.callAt(t, 0, model, stream, maxTokens)
 }
 
-// callAt is call through the given node.
+// callAt calls a scripted model through the given node.
 func (s scriptedCluster) callAt(t *testing.T, node int, model string, stream bool, maxTokens int) callResult {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"count"}],"max_tokens":%d,"stream":%t,"stream_options":{"include_usage":true}}`, model, maxTokens, stream)
--- a/test/process/faults_test.go
+++ b/test/process/faults_test.go
@@ -92,7 +92,7 @@
 	cluster.converseDuring(9, 6, func() {
 		cluster.block(0, 1)
 		cluster.block(0, 2)
-		cluster.waitFor("another leader to take over", func() bool { return len(cluster.ledger()) > 20 })
+		cluster.waitFor("calls to continue without the first node's outgoing traffic", func() bool { return len(cluster.ledger()) > 20 })
 		cluster.clearNetworkFaults()
 		cluster.block(1, 2)
 		cluster.waitFor("calls to continue", func() bool { return len(cluster.ledger()) > 30 })
@@ -175,12 +175,13 @@
 	task.Wait()
 }
 
-// recordMark sends a non-repeatable call and returns the outcome that is reported to the caller.
+// recordMark sends a non-repeatable call, called a mark, and returns the outcome that is reported to the caller.
 func recordMark(cluster *testCluster, node int, body string) string {
 	request, err := http.NewRequest(http.MethodPost, cluster.nodes[node].apiURL()+"/apps/book/marks", strings.NewReader(body))
 	if err != nil {
 		return ""
 	}
+	// Without GetBody, net/http can't resend the call by itself after a connection failure.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	response, err := http.DefaultClient.Do(request)
--- a/test/process/harness_test.go
+++ b/test/process/harness_test.go
@@ -67,9 +67,9 @@
 var hosts atomic.Int64
 
 const (
-	// Concurrent runs differ in the last digits of their process id, which select the host, or in the digits before, which
-	// select the port.
-	hostsOfRuns = 100
+	// runNetworks is the number of loopback networks among which the process id selects that of a run. Concurrent runs with
+	// the same network differ in the remaining digits of the process id, which select the port.
+	runNetworks = 100
 	// The ports from lowestPort on lie below Linux's ephemeral range (ip_local_port_range): an ephemeral port could be taken by a
 	// program that listens on all hosts before the process listens on it.
 	lowestPort = 12000
@@ -84,10 +84,10 @@
 	t.Helper()
 	number := hosts.Add(1)
 	process := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", 100+process%hostsOfRuns, number/250, number%250+1)
+	host := fmt.Sprintf("127.%d.%d.%d", 100+process%runNetworks, number/250, number%250+1)
 	var failure error
 	for try := range portTries {
-		port := lowestPort + (process/hostsOfRuns+try)%portCount
+		port := lowestPort + (process/runNetworks+try)%portCount
 		listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", host, port))
 		if err != nil {
 			failure = err
@@ -158,7 +158,9 @@
 	t       *testing.T
 	store   string
 	proxies *toxiproxy.ApiServer
-	links   map[[2]int]*toxiproxy.Proxy
+	// links holds the proxies by the indexes of the dialing and the dialed node.
+	links map[[2]int]*toxiproxy.Proxy
+	// engines holds the engines' URLs by name.
 	engines map[string]string
 	nodes   []*nodeProcess
 	admin   *adminclient.Client
@@ -178,14 +180,14 @@
 	t.Parallel()
 	cluster := &testCluster{t: t, engines: make(map[string]string), links: make(map[[2]int]*toxiproxy.Proxy)}
 	cluster.proxies = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
-	cluster.store = cluster.standIn("configstore")
+	cluster.store = cluster.newStandIn("configstore")
 	pool := &resource.Pool{}
 	for number := range engines {
 		name := fmt.Sprintf("m%d", number+1)
-		cluster.engines[name] = cluster.standIn("engine")
+		cluster.engines[name] = cluster.newStandIn("engine")
 		pool.Engines = append(pool.Engines, resource.Engine{Name: name, URL: cluster.engines[name], Slots: 8})
 	}
-	cluster.engines["book"] = cluster.standIn("application")
+	cluster.engines["book"] = cluster.newStandIn("application")
 	cluster.configure(nodes, adjust)
 	for _, item := range cluster.nodes {
 		item.daemon = startDaemon(t, "mountstile", "node", "--settings", item.file)
@@ -195,8 +197,8 @@
 	return cluster
 }
 
-// standIn starts a stand-in for an external service and returns its URL.
-func (c *testCluster) standIn(kind string, arguments ...string) string {
+// newStandIn starts a stand-in for an external service and returns its URL.
+func (c *testCluster) newStandIn(kind string, arguments ...string) string {
 	return startStandIn(c.t, kind, arguments...)
 }
 
@@ -290,7 +292,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// hasMember is nodeHasMember for the first node.
+// hasMember reports whether the first node lists a member of that name whose usability is as given.
 func (c *testCluster) hasMember(name string, usable bool) bool {
 	return c.nodeHasMember(0, name, usable)
 }
--- a/test/process/torture_test.go
+++ b/test/process/torture_test.go
@@ -70,7 +70,7 @@
 	t.Logf("seed %d: %d programs, %d marks, faults %v", *tortureSeed, len(cluster.conversations), len(cluster.reported), cluster.injected)
 }
 
-// runCaller runs conversations one after the other until the torture stops.
+// runCaller runs conversations one after the other until stopped is set.
 func (r *torture) runCaller(client *runner.Client, number int) {
 	random := rand.New(rand.NewPCG(*tortureSeed, uint64(100+number)))
 	for count := 0; !r.stopped.Load(); count++ {
