--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -31,15 +31,16 @@
 	breakerFailures = 3
 	breakerMinOpen  = time.Second
 	breakerMaxOpen  = 30 * time.Second
-	// slowStartDivisor: a recovered engine starts with slots/slowStartDivisor, and each success adds a slot.
+	// slowStartDivisor sets the capacity of a recovered engine to slots/slowStartDivisor; each success adds a slot.
 	slowStartDivisor = 4
 	// serviceTimeSmoothing is the weight of the newest sample in the moving average of service times.
 	serviceTimeSmoothing = 0.1
-	// stepTTL is how long a step time is reported, so that an engine avoided as slow is tried again.
+	// stepTTL is how long a step time is reported after the latest sample. An engine that is avoided as slow gives no samples, and
+	// is tried again afterwards.
 	stepTTL = 10 * time.Second
 	// stepSmoothing is the weight of the newest sample in the moving average of step times.
 	stepSmoothing = 0.3
-	// agingPerSecond is added to the rank of a queued call each second, so that none starves.
+	// agingPerSecond is added to the rank of a queued call each second, so that no call starves.
 	agingPerSecond = 1.0
 	// cancellationTTL is how long a cancellation that arrived before its request is kept.
 	cancellationTTL = 30 * time.Second
@@ -72,7 +73,7 @@
 	openDuration   time.Duration
 	slowStartLimit int
 	serviceTime    time.Duration
-	// stepMicros is the moving average of the calls' step times, stepAt the time of the latest sample.
+	// stepMicros is the moving average of the calls' step times; stepAt is the time of the latest sample.
 	stepMicros float64
 	stepAt     time.Time
 	// cancelled holds the times of cancellations whose requests have not arrived, by ticket.
@@ -121,8 +122,8 @@
 	e.running[request.CallID] = reservation{request: request, startedAt: now, expires: now.Add(request.expiry())}
 }
 
-// finish ends a reservation and records its outcome. It reports whether the breaker has opened, and whether there was such a
-// reservation.
+// finish ends a reservation and records its outcome. It reports whether the breaker has opened, and whether the reservation
+// existed.
 func (e *engineState) finish(request ReleaseRequest, now time.Time) (opened, known bool) {
 	held, known := e.running[request.CallID]
 	if !known {
@@ -140,7 +141,8 @@
 	return false, true
 }
 
-// recordStep adds a sample to the average time per token; after stepTTL without samples the average starts anew.
+// recordStep adds a sample to the average time per token. After stepTTL without samples the average starts again from the new
+// sample.
 func (e *engineState) recordStep(micros int64, now time.Time) {
 	if micros <= 0 {
 		return
@@ -179,7 +181,8 @@
 	e.serviceTime += time.Duration(serviceTimeSmoothing * float64(took-e.serviceTime))
 }
 
-// expectedWait estimates the queue time of a new call: until the breaker admits calls, and then for those ahead in the queue.
+// expectedWait estimates the queue time of a new call: the time until the breaker admits calls, plus the time that the calls
+// ahead in the queue take.
 func (e *engineState) expectedWait(now time.Time) time.Duration {
 	if e.slots == 0 {
 		return 0
@@ -188,8 +191,8 @@
 	return breakerWait + e.serviceTime*time.Duration(len(e.queue)+1)/time.Duration(e.slots)
 }
 
-// next removes and returns the call to run next: of the tenant with the smallest weighted share of the engine, the one with
-// the highest rank after aging.
+// next removes and returns the call to run next: the call with the highest rank after aging, among those of the tenant with
+// the smallest weighted share of the engine.
 func (e *engineState) next(now time.Time) *waiter {
 	shares := e.shares()
 	best := -1
@@ -252,7 +255,7 @@
 	return !found
 }
 
-// dropCancellations removes expired cancellations, whose requests had ended before they arrived.
+// dropCancellations removes expired cancellations. Their requests had ended before the cancellations arrived, or never arrive.
 func (e *engineState) dropCancellations(now time.Time) {
 	maps.DeleteFunc(e.cancelled, func(_ uint64, at time.Time) bool { return now.Sub(at) > cancellationTTL })
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -19,7 +19,8 @@
 	sweepInterval = 500 * time.Millisecond
 	// reservationGrace is how long after its call's deadline a reservation expires.
 	reservationGrace = 5 * time.Second
-	minRetryAfter    = 100 * time.Millisecond
+	// minRetryAfter is the shortest RetryAfter of a refusal, so that callers do not retry in a tight loop.
+	minRetryAfter = 100 * time.Millisecond
 )
 
 // ReserveRequest requests a slot on an engine.
--- a/internal/owner/queues.go
+++ b/internal/owner/queues.go
@@ -23,7 +23,7 @@
 	Logger      *events.Logger
 }
 
-// Queues keeps the running and queued calls of the engines for which this node has got reservation requests. It is safe for
+// Queues holds the running and queued calls of the engines for which this node has received reservation requests. It is safe for
 // concurrent use.
 type Queues struct {
 	options QueuesOptions
@@ -189,7 +189,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.options.Clock.Now()
-	// Sorted, so that experiments are deterministic.
+	// Sorted, so that simulations are deterministic.
 	for _, name := range slices.Sorted(maps.Keys(q.engines)) {
 		state := q.engines[name]
 		for callID, held := range state.running {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -32,8 +32,8 @@
 	maxStaticCost = 500
 	// maxRuntimeCost aborts an evaluation whose cost exceeds the estimate.
 	maxRuntimeCost = 1000
-	// unmeteredCost is the estimate up to which the cost is not counted at run time, since counting would cost more than
-	// the evaluation.
+	// unmeteredCost is the estimated cost up to which the cost is not counted at run time, since counting would take longer
+	// than the evaluation.
 	unmeteredCost = 50
 	// maxStringBytes is the assumed size of string inputs in the estimate.
 	maxStringBytes = 256
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -25,7 +25,7 @@
 	return result
 }
 
-// minStepSamples is the number of known step times from which a median is computed.
+// minStepSamples is the minimum number of known step times for a median.
 const minStepSamples = 3
 
 // setSlowness sets Slowness to the step time as a multiple of the candidates' median.
@@ -72,7 +72,8 @@
 	}
 }
 
-// sampleIndexes returns the indexes of the candidates, the warm engine first. s.mutex is held.
+// sampleIndexes returns the indexes of the candidates: of all engines, or of a sample with the warm engine first if there are
+// more than maxCandidates. The caller holds the mutex.
 func (s *Scheduler) sampleIndexes(warmEngine string, engines []resource.Engine) []int {
 	if len(engines) <= maxCandidates {
 		all := make([]int, len(engines))
@@ -94,7 +95,7 @@
 }
 
 // loadOf returns the last load that the engine's owner reported, or an idle one if there is none within loadTTL.
-// s.mutex is held.
+// The caller holds the mutex.
 func (s *Scheduler) loadOf(engine resource.Engine, now time.Time) owner.Load {
 	cached, exists := s.loads[engine.Name]
 	if !exists || now.Sub(cached.receivedAt) > loadTTL {
@@ -103,12 +104,12 @@
 	return cached.load
 }
 
-// neverChosen is the reported idle time of an engine that was never chosen.
-const neverChosen = time.Hour
+// unusedIfNeverChosen is the Unused time of an engine that was never chosen.
+const unusedIfNeverChosen = time.Hour
 
 func (s *Scheduler) sinceLastChosen(name string, now time.Time) time.Duration {
 	if chosenAt, known := s.lastChosen[name]; known {
 		return now.Sub(chosenAt)
 	}
-	return neverChosen
+	return unusedIfNeverChosen
 }
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -13,8 +13,8 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// reserve requests a slot from the owners of the best candidates in order of score, with the policy's patience at each, and
-// then queues the call at the least loaded candidate for the rest of its wait.
+// reserve requests a slot from the owners of the best candidates in order of score, and waits in each queue as long as the
+// policy's patience allows. Then it queues the call at the least loaded candidates for the rest of MaxWait.
 func (s *Scheduler) reserve(ctx context.Context, call Call, ranked []Candidate, rules *policy.Policy, deadline time.Time, waited time.Duration, decision *Decision) (bool, error) {
 	request := owner.ReserveRequest{
 		CallID:     call.ID,
@@ -98,7 +98,7 @@
 			return true, nil
 		}
 		retryAfter := max(time.Duration(response.RetryAfter)*time.Millisecond, minRetryAfter)
-		refusal = apierr.New(apierr.Overloaded, apierr.NotRun, "all engines are busy; the expected queue time exceeds the call's").WithRetryAfter(retryAfter)
+		refusal = apierr.New(apierr.Overloaded, apierr.NotRun, "all engines are busy; the expected queue time exceeds the call's limit").WithRetryAfter(retryAfter)
 		if ctx.Err() != nil {
 			break
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -24,7 +24,8 @@
 	// maxReserveAttempts bounds the reservation requests in each of the two rounds of reserve.
 	maxReserveAttempts = 3
 	// loadTTL is how long a load reported by an owner is used.
-	loadTTL       = 5 * time.Second
+	loadTTL = 5 * time.Second
+	// minRetryAfter is the shortest Retry-After of a refused call, so that callers do not retry in a tight loop.
 	minRetryAfter = 200 * time.Millisecond
 )
 
@@ -55,7 +56,7 @@
 	AgeSeconds   float64
 	// Avoid lists engines on which this call has failed.
 	Avoid []string
-	// MaxWait bounds the time in queues, Timeout the execution.
+	// MaxWait limits the time in queues; Timeout limits the execution.
 	MaxWait time.Duration
 	Timeout time.Duration
 }
@@ -94,7 +95,7 @@
 	Reserve(ctx context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error)
 }
 
-// Options configure a Scheduler.
+// Options configures a Scheduler.
 type Options struct {
 	// Zone is this node's zone; engines in it count as local.
 	Zone     string
@@ -127,7 +128,7 @@
 
 func (s *Scheduler) now() time.Time { return s.options.Clock.Now() }
 
-func (s *Scheduler) elapsedSince(moment time.Time) time.Duration { return s.now().Sub(moment) }
+func (s *Scheduler) elapsedSince(start time.Time) time.Duration { return s.now().Sub(start) }
 
 // randomInt returns a number in [0, limit).
 func (s *Scheduler) randomInt(limit int) int {
@@ -188,7 +189,7 @@
 func noEngineError(rejected []Candidate) error {
 	for _, candidate := range rejected {
 		if candidate.Reason == reasonBreakerOpen || candidate.Reason == reasonFailedBefore {
-			return apierr.New(apierr.NoEngine, apierr.NotRun, "no engine of the pool is available at present").WithRetryAfter(time.Second)
+			return apierr.New(apierr.NoEngine, apierr.NotRun, "no engine of the pool is currently available").WithRetryAfter(time.Second)
 		}
 	}
 	return apierr.New(apierr.NoEngine, apierr.NotRun, "no engine of the pool is eligible for the call").WithRetryAfter(time.Second)
@@ -237,7 +238,7 @@
 	return ""
 }
 
-// exclusionReason returns why an engine can't take the call, apart from the policy; "" if it can.
+// exclusionReason returns why an engine is excluded before the policy is evaluated; "" if it is not.
 func exclusionReason(candidate Candidate, call Call) string {
 	switch {
 	case candidate.Engine.Draining || candidate.Load.Draining:
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -16,8 +16,8 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// owners is a fake Reserver that records the engines it was called for.
-type owners struct {
+// fakeReserver is a Reserver for tests that records the engines for which it was called.
+type fakeReserver struct {
 	free map[string]bool
 	// grantsAfterWait are the engines that grant a slot only to requests that may wait.
 	grantsAfterWait map[string]bool
@@ -26,7 +26,7 @@
 	requested       []string
 }
 
-func (o *owners) Reserve(_ context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
+func (o *fakeReserver) Reserve(_ context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
 	o.requested = append(o.requested, engine.Name)
 	if o.unreachable[engine.Name] {
 		return owner.ReserveResponse{}, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "gone")
@@ -56,48 +56,48 @@
 
 func TestPlace(t *testing.T) {
 	cases := map[string]struct {
-		owners owners
-		source resource.Policy
-		call   Call
-		pool   *resource.Pool
-		engine string
-		code   apierr.Code
+		fakeReserver fakeReserver
+		source       resource.Policy
+		call         Call
+		pool         *resource.Pool
+		engine       string
+		code         apierr.Code
 	}{
 		"the warm engine if it has a free slot": {
-			owners: owners{free: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
 		"another engine if the warm one is full": {
-			owners: owners{free: map[string]bool{"e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e3"},
+			fakeReserver: fakeReserver{free: map[string]bool{"e3": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e3"},
 		"the warm engine's queue though others have free slots": {
-			owners: owners{free: map[string]bool{"e1": true, "e3": true}, grantsAfterWait: map[string]bool{"e2": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true, "e3": true}, grantsAfterWait: map[string]bool{"e2": true}}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e2"},
 		"no queueing at the warm engine without patience": {
-			owners: owners{free: map[string]bool{"e1": true}, grantsAfterWait: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "0.0"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true}, grantsAfterWait: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "0.0"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
 		"a failing patience policy only prevents queueing": {
-			owners: owners{free: map[string]bool{"e1": true}, grantsAfterWait: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "1.0 / engine.load"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true}, grantsAfterWait: map[string]bool{"e2": true}}, source: resource.Policy{Patience: "1.0 / engine.load"}, call: Call{WarmEngine: "e2", MaxWait: time.Minute}, engine: "e1"},
 		"a queue if all engines are full": {
-			owners: owners{grantsAfterWait: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{MaxWait: time.Second}, engine: "any"},
+			fakeReserver: fakeReserver{grantsAfterWait: map[string]bool{"e1": true, "e2": true, "e3": true}}, call: Call{MaxWait: time.Second}, engine: "any"},
 		"overloaded if the queues are too long": {
-			owners: owners{}, call: Call{MaxWait: time.Second}, code: apierr.Overloaded},
+			fakeReserver: fakeReserver{}, call: Call{MaxWait: time.Second}, code: apierr.Overloaded},
 		"overloaded at once if the call may not wait": {
-			owners: owners{grantsAfterWait: map[string]bool{"e1": true}}, code: apierr.Overloaded},
+			fakeReserver: fakeReserver{grantsAfterWait: map[string]bool{"e1": true}}, code: apierr.Overloaded},
 		"no engine on which the call has failed": {
-			owners: owners{free: map[string]bool{"e1": true, "e2": true}}, call: Call{Avoid: []string{"e1"}, WarmEngine: "e1"}, pool: poolOf(2), engine: "e2"},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true, "e2": true}}, call: Call{Avoid: []string{"e1"}, WarmEngine: "e1"}, pool: poolOf(2), engine: "e2"},
 		"no draining engine": {
-			owners: owners{free: map[string]bool{"e1": true}}, pool: &resource.Pool{Engines: []resource.Engine{{Name: "e1", Slots: 1, Draining: true}}}, code: apierr.NoEngine},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true}}, pool: &resource.Pool{Engines: []resource.Engine{{Name: "e1", Slots: 1, Draining: true}}}, code: apierr.NoEngine},
 		"no engine passes the filter": {
-			owners: owners{free: map[string]bool{"e1": true}}, source: resource.Policy{Filter: `engine.name == "x"`}, code: apierr.NoEngine},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true}}, source: resource.Policy{Filter: `engine.name == "x"`}, code: apierr.NoEngine},
 		"a failing score excludes all engines": {
-			owners: owners{free: map[string]bool{"e1": true}}, source: resource.Policy{Score: "1.0 / engine.load"}, code: apierr.NoEngine},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true}}, source: resource.Policy{Score: "1.0 / engine.load"}, code: apierr.NoEngine},
 		"not admitted by the policy": {
-			owners: owners{free: map[string]bool{"e1": true}}, source: resource.Policy{Admit: "false"}, code: apierr.LimitExceeded},
+			fakeReserver: fakeReserver{free: map[string]bool{"e1": true}}, source: resource.Policy{Admit: "false"}, code: apierr.LimitExceeded},
 		"the owner is unreachable": {
-			owners: owners{unreachable: map[string]bool{"e1": true}}, call: Call{MaxWait: time.Second}, pool: poolOf(1), code: apierr.NoEngine},
+			fakeReserver: fakeReserver{unreachable: map[string]bool{"e1": true}}, call: Call{MaxWait: time.Second}, pool: poolOf(1), code: apierr.NoEngine},
 	}
 	for name, item := range cases {
 		t.Run(name, func(t *testing.T) {
 			if item.pool == nil {
 				item.pool = poolOf(3)
 			}
-			decision, err := newScheduler(&item.owners).Place(t.Context(), item.call, item.pool, compile(t, item.source))
+			decision, err := newScheduler(&item.fakeReserver).Place(t.Context(), item.call, item.pool, compile(t, item.source))
 			if item.code != "" {
 				assert.Assert(t, apierr.Is(err, item.code), "%v", err)
 				failure := apierr.From(err, apierr.Ran)
@@ -113,7 +113,7 @@
 
 // TestReportedLoadsAreUsed checks that the loads in a response decide the next placement without another request.
 func TestReportedLoadsAreUsed(t *testing.T) {
-	reserver := &owners{free: map[string]bool{"e1": true, "e2": true}, loads: []owner.Load{{Engine: "e1", Running: 4, Slots: 4}, {Engine: "e2", Slots: 4}}}
+	reserver := &fakeReserver{free: map[string]bool{"e1": true, "e2": true}, loads: []owner.Load{{Engine: "e1", Running: 4, Slots: 4}, {Engine: "e2", Slots: 4}}}
 	scheduler := newScheduler(reserver)
 	rules := compile(t, resource.Policy{})
 	_, err := scheduler.Place(t.Context(), Call{}, poolOf(2), rules)
@@ -136,7 +136,7 @@
 // TestCandidatesAreBounded checks that the sample does not grow with the pool, and contains the warm engine.
 func TestCandidatesAreBounded(t *testing.T) {
 	pool := poolOf(700)
-	scheduler := newScheduler(&owners{})
+	scheduler := newScheduler(&fakeReserver{})
 	for range 20 {
 		candidates := scheduler.candidates(Call{WarmEngine: "e412"}, pool)
 		assert.Equal(t, len(candidates), maxCandidates)
@@ -172,7 +172,7 @@
 
 // TestRoundRobinPolicy checks that a score of engine.unused_seconds chooses all engines in turn.
 func TestRoundRobinPolicy(t *testing.T) {
-	reserver := &owners{free: map[string]bool{"e1": true, "e2": true, "e3": true}}
+	reserver := &fakeReserver{free: map[string]bool{"e1": true, "e2": true, "e3": true}}
 	scheduler := newScheduler(reserver)
 	rules := compile(t, resource.Policy{Score: "engine.unused_seconds"})
 	counts := make(map[string]int)
