--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -50,7 +50,7 @@
 	Membership   membership.Options
 	// NewMachine creates the state machine of a partition.
 	NewMachine func(partition uint32) replica.StateMachine
-	// EveryNodeReads makes each node watch the store. It is the baseline of the capacity measurement.
+	// EveryNodeReads makes each node watch the store, not only a few in each zone. It is for comparison in benchmarks.
 	EveryNodeReads bool
 	Logger         *events.Logger
 }
@@ -187,7 +187,7 @@
 	return errors.Wrap(p.options.Storage.Close(), "closing storage")
 }
 
-// maxOwners is the maximum number of nodes at which a slot is requested, including the owner, if nodes can't be reached.
+// maxOwners limits the nodes that are tried in turn for a slot, the owner first, if nodes can't be reached.
 const maxOwners = 3
 
 // EngineOwners returns up to maxOwners nodes by their rank for an engine. The first is the owner, the others replace it if it can't
@@ -199,7 +199,7 @@
 
 // Reserve implements scheduler.Reserver. If the owner has failed and this isn't known to membership yet, or has just started and has
 // no configuration yet, the next node in rank reserves the slot. That node doesn't know the engine's exact load, so the engine may be
-// overloaded for a moment.
+// briefly overloaded.
 func (p *Plane) Reserve(ctx context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
 	request.Ticket = rand.Uint64()
 	var failure error = apierr.New(apierr.PeerUnreachable, apierr.NotRun, "engine %s has no owner", engine.Name)
--- a/internal/control/identity.go
+++ b/internal/control/identity.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// identityInterval is how often awaitIdentity checks the members.
+	// identityInterval is the interval at which awaitIdentity checks the members.
 	identityInterval = 200 * time.Millisecond
-	// conflictLogInterval is how often a persistent conflict is logged.
+	// conflictLogInterval is the interval at which a persistent conflict is logged.
 	conflictLogInterval = time.Minute
 )
 
--- a/internal/coordinator/executions.go
+++ b/internal/coordinator/executions.go
@@ -16,7 +16,7 @@
 	executionsKind = "executions"
 	// executionsTimeout bounds an executionsRequest to a gateway.
 	executionsTimeout = 2 * time.Second
-	// executionCheckInterval is how often an execution is checked if no other call waits for it.
+	// executionCheckInterval is the interval at which an execution is checked if nothing waits for it.
 	executionCheckInterval = 30 * time.Second
 )
 
@@ -25,8 +25,8 @@
 	Executions []string `json:"executions"`
 }
 
-// executionsResponse lists the executions that the gateway does not hold. An execution is held from before its first message
-// until its last one was answered, and never again, so one that is not held sends nothing more.
+// executionsResponse lists the executions that the gateway does not hold. A gateway holds an execution from before its first
+// message until its last one is answered, and never again, so an execution that is not held sends nothing more.
 type executionsResponse struct {
 	Ended []string `json:"ended,omitempty"`
 }
@@ -122,8 +122,8 @@
 	maps.DeleteFunc(c.requested, stale)
 }
 
-// checkGateways checks dispatched calls of a partition at their gateways, and marks attempts as lost that the gateway does not
-// hold: the response with their engine was lost for longer than the gateway retried, or their end could not be reported.
+// checkGateways checks dispatched calls of a partition at their gateways, and marks those attempts as lost that the gateway does
+// not hold. The gateway has then given up before it received the response with the engine, or could not report the end.
 func (s *Server) checkGateways(ctx context.Context, group uint32, calls []program.OpenCall, tasks *sync.WaitGroup) {
 	byGateway := make(map[string][]program.OpenCall)
 	for _, call := range calls {
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -38,8 +38,8 @@
 	WaitForEnd bool `json:"wait_for_end,omitempty"`
 }
 
-// BeginResponse holds one of the engine to send the call to, a stored answer, the gateway that executes the call already, or the
-// stored history that conflicts with the caller's messages.
+// BeginResponse holds one of these: the engine to send the call to, a stored answer, the gateway that executes the call already,
+// or the mark of the stored history that conflicts with the caller's messages.
 type BeginResponse struct {
 	CallID  string            `json:"call"`
 	Attempt int               `json:"attempt,omitempty"`
@@ -48,7 +48,7 @@
 	Answer  *program.Answer   `json:"answer,omitempty"`
 	// RunningAt is the ID of the gateway that executes the call that this one repeats.
 	RunningAt string `json:"running_at,omitempty"`
-	// Conflict is the end of the stored history.
+	// Conflict is the mark of the whole stored history.
 	Conflict *program.HistoryMark `json:"conflict,omitempty"`
 	// WaitedMillis is the call's queue time so far, for a RetryRequest with EngineWithoutModel.
 	WaitedMillis int64 `json:"waited_ms,omitempty"`
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -102,10 +102,10 @@
 	return placeCtx, func() { cancel(nil) }
 }
 
-// refuteModel records that the engine of a lost attempt has not loaded the call's model, so that the call waits for engines that
+// markNotLoaded records that the engine of a lost attempt has not loaded the call's model, so that the call waits for engines that
 // have. It returns false if the pool is not configured to load models or was removed: then the retry must avoid the engine, or it
 // could be placed there again at once.
-func (s *Server) refuteModel(request RetryRequest) bool {
+func (s *Server) markNotLoaded(request RetryRequest) bool {
 	set := s.options.Config.Current().Set
 	service, known := set.Service(request.Begin.Admit.Service)
 	if !known {
--- a/internal/coordinator/placement.go
+++ b/internal/coordinator/placement.go
@@ -22,7 +22,7 @@
 	waited time.Duration
 }
 
-// priorAttempts returns the outcome of the attempts before a retry.
+// priorAttempts returns the outcome of the attempts that preceded the retry.
 func (r RetryRequest) priorAttempts() priorAttempts {
 	return priorAttempts{avoid: r.Avoid, waited: time.Duration(r.WaitedMillis) * time.Millisecond}
 }
@@ -42,7 +42,7 @@
 	if err != nil {
 		return scheduler.Decision{}, apierr.New(apierr.PolicyFailed, apierr.NotRun, "%s", err)
 	}
-	schedulerCall := s.describe(request, call, set, service, prior)
+	schedulerCall := s.newSchedulerCall(request, call, set, service, prior)
 	if pool.Loading != nil {
 		return s.placeOnLoaded(ctx, request, service, pool, schedulerCall, rules)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// describe extends DescribeCall by the tenant's weight and the outcome of earlier attempts.
-func (s *Server) describe(request BeginRequest, call *program.Call, set *resource.Set, service *resource.Service, prior priorAttempts) scheduler.Call {
+// newSchedulerCall adds the tenant's weight and the outcome of earlier attempts to the result of DescribeCall.
+func (s *Server) newSchedulerCall(request BeginRequest, call *program.Call, set *resource.Set, service *resource.Service, prior priorAttempts) scheduler.Call {
 	summary, _ := s.machine(request.Partition).Summary(request.Admit.Program)
 	schedulerCall := DescribeCall(request, call, summary, service, time.Now())
 	schedulerCall.Avoid = prior.avoid
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -26,7 +26,8 @@
 const (
 	// sequenceGapTimeout is how long a call waits for the arrival of its predecessor in the program's sequence.
 	sequenceGapTimeout = 2 * time.Second
-	// leadershipCheckInterval is how often requests that wait for a change check that this node still leads the partition.
+	// leadershipCheckInterval is the interval at which requests that wait for a change check that this node still leads the
+	// partition.
 	leadershipCheckInterval = time.Second
 	// proposeTimeout bounds the commit of one command.
 	proposeTimeout = 5 * time.Second
@@ -67,7 +68,8 @@
 	mutex sync.Mutex
 	// machines holds the state machine of each partition that has a replica here.
 	machines map[uint32]*program.Machine
-	// drivers cancels the driver of a call, by call ID.
+	// drivers holds, by call ID, the function that cancels the call's driver: the one request that places an admitted call on
+	// an engine. Other requests for the call wait for its result.
 	drivers map[string]context.CancelCauseFunc
 	// orphanedSince is when an admitted call was first seen without a driver, by call ID.
 	orphanedSince map[string]time.Time
@@ -78,7 +80,7 @@
 	decisionOrder []string
 	// releasing holds the cache releases in progress.
 	releasing map[program.HeldCache]bool
-	// checks has a mutex of its own.
+	// checks has its own mutex.
 	checks *executionChecks
 }
 
@@ -423,8 +425,8 @@
 // retry commits a lost attempt, and places the call on another engine if it may be retried.
 func (s *Server) retry(ctx context.Context, request RetryRequest) (BeginResponse, error) {
 	begin := request.Begin
-	// The driver is claimed before the loss is committed, so that this request, whose gateway has the partial answer, continues
-	// the call rather than a repeat that waits for its end.
+	// This request becomes the driver before the loss is committed. Otherwise a repeat that waits for the call's end could become
+	// the driver, and its gateway lacks the partial answer.
 	driveCtx, done := s.startDriving(ctx, begin.Admit.CallID)
 	if done != nil {
 		defer done()
@@ -442,7 +444,7 @@
 	if result.Error != nil {
 		return BeginResponse{}, result.Error
 	}
-	if request.EngineWithoutModel != "" && !s.refuteModel(request) {
+	if request.EngineWithoutModel != "" && !s.markNotLoaded(request) {
 		request.Avoid, request.EngineWithoutModel = append(request.Avoid, request.EngineWithoutModel), ""
 	}
 	if refusal := s.checkRetry(request, result.Call); refusal != nil {
--- a/internal/coordinator/server_test.go
+++ b/internal/coordinator/server_test.go
@@ -42,7 +42,7 @@
 func TestEngineWithoutModelCostsNoRetry(t *testing.T) {
 	server := newTestServer(t, 2)
 	request := RetryRequest{Begin: BeginRequest{Admit: program.Admit{Service: "s", Model: "m"}}}
-	assert.Assert(t, !server.refuteModel(request), "the pool is not configured to load models")
+	assert.Assert(t, !server.markNotLoaded(request), "the pool is not configured to load models")
 	call := &program.Call{State: program.Admitted, Attempt: 2}
 	message := func() string { return apierr.From(server.checkRetry(request, call), apierr.Ran).Message }
 
@@ -65,7 +65,7 @@
 	service := &resource.Service{QueueSeconds: 10}
 	wait := func(waitedMillis int64) time.Duration {
 		prior := RetryRequest{WaitedMillis: waitedMillis}.priorAttempts()
-		return server.describe(BeginRequest{}, &program.Call{}, server.options.Config.Current().Set, service, prior).MaxWait
+		return server.newSchedulerCall(BeginRequest{}, &program.Call{}, server.options.Config.Current().Set, service, prior).MaxWait
 	}
 	assert.Equal(t, wait(0), 10*time.Second)
 	assert.Equal(t, wait(4000), 6*time.Second)
--- a/internal/gateway/answer_relay.go
+++ b/internal/gateway/answer_relay.go
@@ -20,7 +20,7 @@
 	CallID string `json:"call"`
 	// Offset is the number of bytes of the answer that the reader has.
 	Offset int `json:"offset"`
-	// Answer is the ID of the answer that the reader has them of, 0 before the first response.
+	// Answer is the ID of the answer that Offset refers to; 0 before the first response.
 	Answer uint64 `json:"answer,omitempty"`
 }
 
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -18,7 +18,7 @@
 // repeatableMethods are idempotent by their definition (RFC 9110, section 9.2.2).
 var repeatableMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete}
 
-// unforwardedHeaders are not sent to application engines: this product's request headers and the caller's API key.
+// unforwardedHeaders are not sent to application engines: the Mountstile request headers and the caller's API key.
 var unforwardedHeaders = []string{
 	HeaderProgram, HeaderParent, HeaderSequence, HeaderRepeatable, HeaderHistory, HeaderTokenBudget, "Authorization",
 }
--- a/internal/gateway/chat_execution.go
+++ b/internal/gateway/chat_execution.go
@@ -24,13 +24,14 @@
 	execution
 	request chatRequest
 	writer  answerWriter
-	// publisher publishes the answer to repeats of the call. It is nil without an idempotency key and before the first attempt.
+	// publisher publishes the answer to other requests with the same idempotency key. It is nil without such a key, and before
+	// the first attempt.
 	publisher *answerPublisher
 
 	// content and toolCalls are the answer so far, of all attempts.
 	content      strings.Builder
 	toolCalls    toolCallMerger
-	pace         engine.StepTimer
+	stepTimer    engine.StepTimer
 	usage        usageCounter
 	finishReason string
 }
@@ -159,8 +160,8 @@
 func (e *chatExecution) attempt(ctx context.Context, w http.ResponseWriter, response coordinator.BeginResponse, requestedAt time.Time) (*program.Answer, *coordinator.RetryRequest, error) {
 	target := *response.Engine
 	failed := true
-	e.pace = engine.StepTimer{}
-	defer func() { e.release(target, response.CallID, failed, e.pace.StepTime()) }()
+	e.stepTimer = engine.StepTimer{}
+	defer func() { e.release(target, response.CallID, failed, e.stepTimer.StepTime()) }()
 	if e.gateway.options.Pauses.PausedSince(requestedAt) {
 		failed = false
 		return nil, e.retryRequest(response, true), nil
@@ -217,8 +218,8 @@
 	return e.withSpent(e.retry(response, undelivered))
 }
 
-// withSpent sets the cost of the call for the case that there is no other attempt. A partial answer that the caller has received
-// is charged.
+// withSpent sets the cost of the call if it ends without another attempt: that of the partial answer, if the caller has received
+// one.
 func (e *chatExecution) withSpent(request *coordinator.RetryRequest) *coordinator.RetryRequest {
 	if e.writer != nil && e.writer.hasStarted() {
 		request.Spent = e.usage.usage().Total()
@@ -271,7 +272,7 @@
 		}
 		stallTimer.reset()
 		if delta.Content != "" || len(delta.ToolCalls) > 0 {
-			e.pace.RecordChunk(time.Now())
+			e.stepTimer.RecordChunk(time.Now())
 			if e.writer == nil {
 				e.gateway.options.Metrics.firstToken.WithLabelValues(e.service).Observe(time.Since(e.started).Seconds())
 			}
@@ -280,7 +281,7 @@
 	}
 }
 
-// attemptFailure returns the error of an attempt, which is ErrBroken if the watchdog has cancelled it.
+// attemptFailure returns the error of an attempt, which is ErrInterrupted if the watchdog has cancelled it.
 func (e *chatExecution) attemptFailure(attemptCtx context.Context, response coordinator.BeginResponse, err error) error {
 	var stalled *errStalled
 	if !errors.As(context.Cause(attemptCtx), &stalled) {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -94,7 +94,7 @@
 }
 
 // release frees the slot on the engine, and reports to the engine's owner whether the attempt failed and how long its steps took.
-// A step of 0 means unknown.
+// A step of 0 is unknown.
 func (e *execution) release(target engine.Target, callID string, failed bool, step time.Duration) {
 	e.gateway.options.Release(e.engineResource(target), owner.ReleaseRequest{Engine: target.Name, CallID: callID, Failed: failed, StepMicros: step.Microseconds()})
 }
--- a/internal/gateway/identity.go
+++ b/internal/gateway/identity.go
@@ -13,7 +13,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// identity holds the program, position and options of a call from the request's headers.
+// identity holds the program, sequence number and options of a call from the request's headers.
 type identity struct {
 	key            program.Key
 	root           string
--- a/internal/gateway/pause.go
+++ b/internal/gateway/pause.go
@@ -13,8 +13,8 @@
 	pauseThreshold = time.Second
 )
 
-// PauseDetector detects pauses of the process, so that an attempt is not sent after a pause on the basis of a response from before
-// it. It is safe for concurrent use.
+// PauseDetector detects pauses of the process, so that an attempt is not sent after a pause on the basis of a response that
+// was received before the pause. It is safe for concurrent use.
 type PauseDetector struct {
 	// lastCheck is when the latest check ran, in nanoseconds since start.
 	lastCheck atomic.Int64
--- a/internal/gateway/response_writer.go
+++ b/internal/gateway/response_writer.go
@@ -23,7 +23,7 @@
 // Unwrap returns the underlying writer for http.ResponseController.
 func (w *trackingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// unwrapWriter returns the server's own writer, by which http.MaxBytesReader closes the connection.
+// unwrapWriter returns the server's own writer, which http.MaxBytesReader needs to close the connection.
 func unwrapWriter(w http.ResponseWriter) http.ResponseWriter {
 	if tracking, isTracking := w.(*trackingWriter); isTracking {
 		return tracking.ResponseWriter
--- a/internal/gateway/tool_calls.go
+++ b/internal/gateway/tool_calls.go
@@ -59,7 +59,7 @@
 	return encoded
 }
 
-// indexedToolCalls adds the index to the tool calls of a message, which clients require in a stream.
+// indexedToolCalls adds to each tool call of a message its index, which clients require in a stream.
 func indexedToolCalls(raw json.RawMessage) json.RawMessage {
 	var calls []toolCall
 	if len(raw) == 0 || json.Unmarshal(raw, &calls) != nil {
--- a/internal/program/calls.go
+++ b/internal/program/calls.go
@@ -24,17 +24,17 @@
 	if refusal := m.checkAdmission(known, request); refusal != nil {
 		return *refusal
 	}
-	lineage := m.ensurePrograms(request)
-	if refusal := checkBudgets(lineage, request); refusal != nil {
-		m.removeUnused(lineage)
+	ancestors := m.ensurePrograms(request)
+	if refusal := checkBudgets(ancestors, request); refusal != nil {
+		m.removeUnused(ancestors)
 		return *refusal
 	}
-	for _, program := range lineage {
+	for _, program := range ancestors {
 		program.Reserved += request.Reserve
 		program.Calls++
 		program.ActiveAt = m.now
 	}
-	own := lineage[0]
+	own := ancestors[0]
 	if own.FirstMessage.Hash == "" && own.Mark.Count == 0 && len(request.Messages) > 0 {
 		own.FirstMessage = firstMessageOf(request.Messages[0])
 	}
@@ -144,7 +144,7 @@
 	return false
 }
 
-// ensurePrograms creates the program and its ancestors as far as they do not exist, and returns them, the program first.
+// ensurePrograms creates the program and its ancestors if they do not exist, and returns them, the program first.
 func (m *Machine) ensurePrograms(request Admit) []*Program {
 	parts := strings.Split(request.Program.Path, "/")
 	for depth := range parts {
@@ -170,8 +170,8 @@
 }
 
 // checkBudgets returns a refusal if the call exceeds the budget of the program or of an ancestor.
-func checkBudgets(lineage []*Program, request Admit) *Result {
-	for _, program := range lineage {
+func checkBudgets(ancestors []*Program, request Admit) *Result {
+	for _, program := range ancestors {
 		if program.Used+program.Reserved+request.Reserve > program.Limits.TokenBudget {
 			refusal := refuse(apierr.BudgetExceeded, "the call may cost %d tokens; program %s has %d of %d left",
 				request.Reserve, program.Key.Path, program.Limits.TokenBudget-program.Used-program.Reserved, program.Limits.TokenBudget)
@@ -186,8 +186,8 @@
 }
 
 // removeUnused removes programs without calls, which were created for a call that was then refused.
-func (m *Machine) removeUnused(lineage []*Program) {
-	for _, program := range lineage {
+func (m *Machine) removeUnused(ancestors []*Program) {
+	for _, program := range ancestors {
 		if program.Calls == 0 {
 			delete(m.programs, program.Key)
 		}
@@ -277,7 +277,7 @@
 		m.notify(program.Key)
 		return Result{Call: call.withoutMessages()}
 	}
-	lost := apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "the connection to the back end was lost; the request is not repeatable and may have been executed")
+	lost := apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "the connection to the engine was lost; the request is not repeatable and may have been executed")
 	m.settle(program, call, call.Reserved)
 	m.finishCall(program, call, Failed, nil, lost)
 	return Result{Call: call.withoutMessages(), Error: lost}
--- a/internal/program/chunks.go
+++ b/internal/program/chunks.go
@@ -5,13 +5,13 @@
 	"encoding/json"
 )
 
-// maxTailBytes is the size from which a history's uncompressed tail is compressed to a chunk. Old messages are read only if a
-// caller sends new messages alone.
+// maxTailBytes is the size at which a history's uncompressed tail is compressed to a chunk. The chunks are needed mainly for
+// callers that send only their new messages.
 const maxTailBytes = 16 << 10
 
 // History is a program's messages, the older ones compressed.
 type History struct {
-	// Chunks are zstd of JSON arrays of messages, oldest first.
+	// Chunks are zstd-compressed JSON arrays of messages, oldest first.
 	Chunks [][]byte  `json:"chunks,omitempty"`
 	Tail   []Message `json:"tail,omitempty"`
 }
@@ -28,7 +28,7 @@
 	}
 	encoded, err := json.Marshal(h.Tail)
 	if err != nil {
-		// Messages that are no valid JSON stay uncompressed.
+		// Messages that are not valid JSON stay uncompressed.
 		return
 	}
 	// The encoder's buffer has the capacity of the uncompressed size; the clone does not retain it.
--- a/internal/program/machine.go
+++ b/internal/program/machine.go
@@ -13,7 +13,6 @@
 	"github.com/mountstile/mountstile/internal/apierr"
 )
 
-// Retention of ended calls and programs.
 const (
 	// CallRetentionMillis is how long an ended call with an idempotency key is kept.
 	CallRetentionMillis = 60 * 60 * 1000
@@ -92,14 +91,14 @@
 
 // ancestors returns the program and its existing ancestors, itself first.
 func (m *Machine) ancestors(key Key) []*Program {
-	var lineage []*Program
+	var result []*Program
 	for path := key.Path; ; {
 		if found := m.programs[Key{key.Tenant, path}]; found != nil {
-			lineage = append(lineage, found)
+			result = append(result, found)
 		}
 		cut := strings.LastIndexByte(path, '/')
 		if cut < 0 {
-			return lineage
+			return result
 		}
 		path = path[:cut]
 	}
@@ -144,14 +143,14 @@
 func (s snapshotState) validate() error {
 	for _, program := range s.Programs {
 		if program == nil {
-			return &ErrSnapshot{Reason: "a program is missing"}
+			return &ErrSnapshot{Reason: "a program in the list is null"}
 		}
 		if !program.History.valid() {
 			return &ErrSnapshot{Reason: "the history of program " + program.Key.Path + " is corrupt"}
 		}
 		for id, call := range program.Open {
 			if call == nil || call.ID != id {
-				return &ErrSnapshot{Reason: "call " + id + " of program " + program.Key.Path + " is missing"}
+				return &ErrSnapshot{Reason: "call " + id + " of program " + program.Key.Path + " is missing or has another ID"}
 			}
 		}
 	}
--- a/internal/program/types.go
+++ b/internal/program/types.go
@@ -88,7 +88,7 @@
 	LastDispatchedBefore uint64 `json:"reached_before,omitempty"`
 	// MayHaveRun is set once an attempt is lost that its gateway may have sent.
 	MayHaveRun bool `json:"may_have_run,omitempty"`
-	// Spent is the cost in tokens if the call ends without another attempt, Reserved the budget reservation in tokens.
+	// Spent is the cost in tokens if the call ends without another attempt. Reserved is the budget reservation in tokens.
 	Spent      int64         `json:"spent,omitempty"`
 	Reserved   int64         `json:"reserved,omitempty"`
 	Base       HistoryMark   `json:"base"`
@@ -113,13 +113,14 @@
 	Calls    int64 `json:"calls"`
 	// NextSequence is the sequence number of the next call; the first is 1. LastDispatched is the highest sequence number
 	// of a call that may have been sent to an engine.
-	NextSequence   uint64           `json:"next_sequence"`
-	LastDispatched uint64           `json:"reached,omitempty"`
-	History        History          `json:"history,omitzero"`
-	Mark           HistoryMark      `json:"mark"`
-	Open           map[string]*Call `json:"open,omitempty"`
-	CreatedAt      int64            `json:"created_at"`
-	ActiveAt       int64            `json:"active_at"`
+	NextSequence   uint64      `json:"next_sequence"`
+	LastDispatched uint64      `json:"reached,omitempty"`
+	History        History     `json:"history,omitzero"`
+	Mark           HistoryMark `json:"mark"`
+	// Open holds the calls that have not ended, and ended calls during their retention, by call ID.
+	Open      map[string]*Call `json:"open,omitempty"`
+	CreatedAt int64            `json:"created_at"`
+	ActiveAt  int64            `json:"active_at"`
 	// EndedAt and EndReason are set when the program ends.
 	EndedAt   int64  `json:"ended_at,omitempty"`
 	EndReason string `json:"end_reason,omitempty"`
@@ -160,13 +161,14 @@
 	Messages  []Message   `json:"messages,omitempty"`
 	Base      HistoryMark `json:"base"`
 	CheckBase bool        `json:"check_base,omitempty"`
-	// Limits are those of the program and its ancestors as far as they are new. OwnTokens, if set, lowers the token budget
-	// of a new program, but not of its ancestors.
+	// Limits apply to the program and its ancestors if this command creates them. OwnTokens, if set, lowers the token
+	// budget of a new program, but not of its ancestors.
 	Limits    Limits `json:"limits"`
 	OwnTokens int64  `json:"own_tokens,omitempty"`
 }
 
-// Dispatch records that a call is about to be sent to an engine. The call must not be sent before it is committed.
+// Dispatch records that a call is about to be sent to an engine. The call must not be sent before this command is
+// committed.
 type Dispatch struct {
 	CallID  string `json:"call"`
 	Program Key    `json:"program"`
@@ -200,8 +202,8 @@
 	Answer  Answer `json:"answer"`
 }
 
-// Fail ends a call without an answer. With Attempt 0 it applies only to an admitted call, which then can't be dispatched any more:
-// this is what makes NotRun certain.
+// Fail ends a call without an answer. With Attempt 0 it applies only to an admitted call, which can't be dispatched afterwards, so
+// that NotRun is certain if no earlier attempt may have run.
 type Fail struct {
 	CallID  string        `json:"call"`
 	Program Key           `json:"program"`
@@ -244,8 +246,8 @@
 type Result struct {
 	// Call is a copy of the call after the command, without its messages.
 	Call *Call
-	// Existing is set if Admit found the call or another one with its idempotency key, and if another command had been
-	// applied before or came too late.
+	// Existing is set if the command changed nothing: Admit found the call or another one with its idempotency key, or
+	// Dispatch, Complete or Fail was repeated or came too late.
 	Existing bool
 	// Mark identifies the whole history; set by Dispatch and Complete, and with HistoryConflict.
 	Mark  HistoryMark
