--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -13,11 +13,11 @@
 	probeSent bool
 	// pendingSnapshot is the index of the snapshot that is being sent, or 0.
 	pendingSnapshot uint64
-	// snapshotHeartbeats counts the heartbeat responses since that snapshot was sent.
+	// snapshotHeartbeats counts the heartbeat responses while a snapshot is pending.
 	snapshotHeartbeats int
 	// inflight holds the last index of each unacknowledged message.
 	inflight []uint64
-	// previousMatch is match at the last heartbeat response with entries unacknowledged.
+	// previousMatch is the value of match at the previous call of probeIfStalled.
 	previousMatch uint64
 	// active is set by a response and cleared by each quorum check.
 	active bool
@@ -251,7 +251,7 @@
 	return true
 }
 
-// probeIfStalled goes back to probing if match has not advanced between two heartbeat responses.
+// probeIfStalled resumes probing if match is 0 or has not advanced since the previous call.
 func (c *Core) probeIfStalled(peer *progress) {
 	if peer.previousMatch == peer.match && peer.previousMatch > 0 || peer.match == 0 {
 		peer.probeFrom(peer.match + 1)
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// A node whose packets some others do not receive is kept alive by indirect probes through the rest.
+// A node whose packets some others do not receive is kept alive by indirect probes through the other nodes.
 func TestOneWayPartitionCausesNoDeath(t *testing.T) {
 	net := newNetwork(t, 3)
 	net.addMany(30)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -43,7 +43,8 @@
 }
 
 // sendSyncs starts an exchange of tables with a random peer, and with a random seed or dead member that is not
-// known as alive. The latter merges the parts of the cluster after a network partition.
+// known as alive. The second exchange merges the parts of the cluster after a network
+// partition.
 func (c *Core) sendSyncs(time.Time) {
 	packet := Packet{Type: Sync, Hashes: slices.Clone(c.hashes[:]), Members: []Member{c.self}}
 	if peers := c.peers(); len(peers) > 0 {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -83,7 +83,7 @@
 }
 
 // handlePing acknowledges a probe. If the sender is suspect or dead in the table, the acknowledgement contains
-// its entry, so that it can refute it.
+// the sender's entry, so that the sender can refute it.
 func (c *Core) handlePing(packet Packet) {
 	reply := Packet{Type: Ack, Sequence: packet.Sequence}
 	known := c.members[packet.From]
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -140,8 +140,8 @@
 	if failed != "" {
 		healthy--
 	}
-	// Remove a failed voter only after its replacement is a voter: a smaller group is no safer.
 	candidate, found := m.replacement(view, next)
+	// Remove a failed voter only after its replacement is a voter: a smaller group is no safer.
 	if failed != "" && healthy >= ReplicasPerPartition {
 		next.Voters = without(next.Voters, failed)
 		return next, true
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -362,7 +362,7 @@
 	}
 	g.wasLeader = isLeader
 	if previous != nil && (previous.IsLeader != isLeader || previous.MembersIndex != status.MembersIndex) {
-		g.host.changed(g.committedStatus(*status))
+		g.host.reportStatus(g.committedStatus(*status))
 	}
 }
 
@@ -373,7 +373,7 @@
 	return status
 }
 
-// compact discards applied entries of a long log, after saving a snapshot unless storage is volatile.
+// compact discards applied entries of a long log. It saves a snapshot first unless the storage is volatile.
 func (g *group) compact() {
 	if g.failure != nil || g.core.Applied() < g.core.FirstIndex()+compactionThreshold {
 		return
@@ -403,7 +403,7 @@
 	case <-g.stop:
 		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped")
 	case <-ctx.Done():
-		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "%s", ctx.Err())
+		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "queueing the request at the replica: %s", ctx.Err())
 	}
 }
 
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -206,7 +206,8 @@
 }
 
 // Do runs an action on the core of a group, on the goroutine of the group. If the replica has failed, the
-// action is not run and the error is the failure.
+// action is not run and the error is the failure. Once the action is queued, Do waits for it even if ctx is done, because
+// the action may use variables of the caller.
 func (h *Host) Do(ctx context.Context, id uint32, action func(*consensus.Core)) error {
 	running := h.get(id)
 	if running == nil {
@@ -258,7 +259,7 @@
 	}
 }
 
-func (h *Host) changed(status Status) {
+func (h *Host) reportStatus(status Status) {
 	if h.options.OnStatusChange != nil {
 		h.options.OnStatusChange(status)
 	}
--- a/internal/transport/redial.go
+++ b/internal/transport/redial.go
@@ -12,8 +12,8 @@
 	replacedConnectionGrace = time.Second
 )
 
-// Redial replaces the open connection to a peer from which nothing has arrived for the duration of silence. A peer
-// that restarted after a power loss can't be reached over its old connections, which take long to time out.
+// Redial replaces the open connection to a peer if nothing has arrived over it for at least silence. A peer that
+// restarted after a power loss can't be reached over its old connections, which take long to time out.
 // The old connection stays open for a grace period, as the peer may only be slow, and dials are limited to one per
 // redialInterval so that an overloaded peer gets no burst of connections. Redial reports whether the connection
 // is newer than a request sent at sentAt, so that sending the request again is worthwhile.
--- a/internal/transport/relay_client.go
+++ b/internal/transport/relay_client.go
@@ -19,9 +19,9 @@
 
 const (
 	relaysKind = "relays"
-	// maxRelays is how many relays a node keeps, enough that a partial partition is unlikely to cut off all of them.
+	// maxRelays is the number of relays that a node keeps. A partial partition is unlikely to cut off all of them.
 	maxRelays = 8
-	// relayRefreshInterval is how often the list of relays is refreshed, as nodes come and go.
+	// relayRefreshInterval is the interval at which the list of relays is refreshed, because nodes join and leave.
 	relayRefreshInterval = 5 * time.Second
 	relayRefreshTimeout  = time.Second
 	// initialRelays is how many relays are tried in parallel while none is known to work.
@@ -154,10 +154,10 @@
 	kind      string
 	payload   json.RawMessage
 	startedAt time.Time
-	// relays holds those that have not been tried yet; usingRelays is true once relays are in use.
+	// relays holds the relays that have not been tried yet; usingRelays is true once relays are in use.
 	relays      []string
 	usingRelays bool
-	// results has room for one result per route, so that senders never block; pending counts those outstanding.
+	// results has room for one result per route, so that senders never block; pending counts the outstanding results.
 	results chan routeResult
 	pending int
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -28,7 +28,7 @@
 // not block.
 type OneWayHandler func(from Peer, payload json.RawMessage)
 
-// Options configure a Transport.
+// Options configures a Transport.
 type Options struct {
 	Cluster string
 	NodeID  string
@@ -50,13 +50,13 @@
 	writeTimeout = 10 * time.Second
 	// idleTimeout is how long a connection may go without receiving a line before it is closed.
 	idleTimeout = 2 * time.Minute
-	// livenessInterval is how often connections with pending requests are probed; livenessTimeout is how long the
-	// reply may take.
+	// livenessInterval is the interval at which connections with pending requests are probed; livenessTimeout is how
+	// long the reply may take.
 	livenessInterval = time.Second
 	livenessTimeout  = 2 * time.Second
 	livenessKind     = "alive"
-	// maxQueuedLines bounds the write queue. Each connection allocates it, and a replica has connections to all
-	// gateways.
+	// maxQueuedLines limits the write queue of a connection. Each connection allocates it in full, and a replica has
+	// connections to all gateways, so it must stay small.
 	maxQueuedLines        = 256
 	maxConcurrentHandlers = 512
 )
@@ -150,7 +150,7 @@
 	t.handlers[kind] = func(ctx context.Context, from Peer, payload json.RawMessage) (any, error) {
 		var request Request
 		if err := json.Unmarshal(payload, &request); err != nil {
-			return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "%s: %s", kind, err)
+			return nil, apierr.New(apierr.InvalidRequest, apierr.NotRun, "decoding a request of kind %s: %s", kind, err)
 		}
 		return handler(ctx, from, request)
 	}
@@ -336,8 +336,8 @@
 	return conn, nil
 }
 
-// register adds an open connection. It becomes the connection used for its peer if there is none yet or if it
-// replaces the present one. It returns false if the transport is closed.
+// register adds an open connection. It is used for messages to its peer if there is no other connection, or if it
+// replaces the other one. It returns false if the transport is closed.
 func (t *Transport) register(conn *connection, replaces bool) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -348,6 +348,7 @@
 	if replaces || t.peers[conn.peer.Address] == nil {
 		t.peers[conn.peer.Address] = conn
 	}
+	// The connection's reader and writer.
 	t.tasks.Add(2)
 	return true
 }
