--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine is the client side of back ends: model engines with the OpenAI chat-completions API, and application
+// Package engine is the client of engines: model engines, which have the OpenAI chat-completions API, and application
 // engines, which are plain HTTP servers. The wire formats are internal to its adapters.
 package engine
 
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -188,11 +188,11 @@
 	finishError = "error"
 )
 
-// errInvalidEvent means that an engine sent an event that is malformed, unexpected or an error.
-type errInvalidEvent struct{ Detail string }
+// errInvalidResponse means that an engine sent an event or model state that is malformed or unexpected, or an error event.
+type errInvalidResponse struct{ Detail string }
 
 // Error implements error.
-func (e *errInvalidEvent) Error() string { return "invalid event: " + e.Detail }
+func (e *errInvalidResponse) Error() string { return "invalid response: " + e.Detail }
 
 // eventStream implements Stream on a body of server-sent events.
 type eventStream struct {
@@ -230,10 +230,10 @@
 func (s *eventStream) decode(payload string) (Delta, error) {
 	var event chunk
 	if err := json.Unmarshal([]byte(payload), &event); err != nil {
-		return Delta{}, &ErrInterrupted{Cause: &errInvalidEvent{Detail: payload[:min(len(payload), maxQuotedEventBytes)]}}
+		return Delta{}, &ErrInterrupted{Cause: &errInvalidResponse{Detail: payload[:min(len(payload), maxQuotedEventBytes)]}}
 	}
 	if event.Error != nil {
-		return Delta{}, &ErrInterrupted{Cause: &errInvalidEvent{Detail: event.Error.Message}}
+		return Delta{}, &ErrInterrupted{Cause: &errInvalidResponse{Detail: event.Error.Message}}
 	}
 	delta := Delta{Model: event.Model}
 	for _, choice := range event.Choices {
@@ -254,14 +254,14 @@
 // is an error.
 func (s *eventStream) decodeChoice(choice chunkChoice, delta *Delta) error {
 	if choice.Index != 0 {
-		return &errInvalidEvent{Detail: "content of choice " + strconv.Itoa(choice.Index)}
+		return &errInvalidResponse{Detail: "content of choice " + strconv.Itoa(choice.Index)}
 	}
 	content := ""
 	if choice.Delta.Content != nil {
 		content = *choice.Delta.Content
 	}
 	if s.finished && content != "" {
-		return &errInvalidEvent{Detail: "content after the finish reason"}
+		return &errInvalidResponse{Detail: "content after the finish reason"}
 	}
 	delta.Content += content
 	if calls := choice.Delta.ToolCalls; len(calls) > 0 && string(calls) != jsonNull {
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -32,7 +32,7 @@
 		return ModelState{}, err
 	}
 	if state.Token > MaxToken {
-		return ModelState{}, &errInvalidEvent{Detail: "token " + strconv.FormatUint(state.Token, 10)}
+		return ModelState{}, &errInvalidResponse{Detail: "token above the maximum: " + strconv.FormatUint(state.Token, 10)}
 	}
 	return state, nil
 }
--- a/internal/modelload/controller.go
+++ b/internal/modelload/controller.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// pollInterval is how often the model state of an engine that is not loading is polled.
+	// pollInterval is the interval at which the model state of an engine that is not loading is polled.
 	pollInterval     = 15 * time.Second
 	engineTimeout    = 2 * time.Second
 	maxParallelPolls = 16
--- a/internal/modelload/demand.go
+++ b/internal/modelload/demand.go
@@ -7,11 +7,11 @@
 
 const (
 	demandKind = "model_demand"
-	// baseReportInterval plus reportIntervalPerNode for each node of the cluster is how often a node reports its demand.
-	// The second part bounds the rate of reports that a leader receives in a large cluster.
+	// A node reports its demand at an interval of baseReportInterval plus reportIntervalPerNode for each node of the
+	// cluster. The second part limits the rate of reports that a leader receives in a large cluster.
 	baseReportInterval    = 2 * time.Second
 	reportIntervalPerNode = 100 * time.Millisecond
-	// missedReportLimit is after how many intervals without a new report a node's demand is dropped.
+	// missedReportLimit is the number of intervals without a new report after which a node's demand is dropped.
 	missedReportLimit = 3
 	// demandHalfLife is the half-life of demand that is no longer reported.
 	demandHalfLife = 10 * time.Second
--- a/internal/modelload/manager.go
+++ b/internal/modelload/manager.go
@@ -22,7 +22,7 @@
 	minReportInterval = 500 * time.Millisecond
 )
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
 	Transport  *transport.Transport
 	Membership *membership.Manager
@@ -194,7 +194,7 @@
 }
 
 // localEngines returns the pool's engines that are controlled from this region: those of the region and, in the first
-// region, those without a region.
+// region by name, those without a region.
 func (m *Manager) localEngines(pool resource.Resource) []resource.Engine {
 	region := m.options.Membership.View().Self.Region
 	own, _, err := m.options.Partitions.Locate(region, "", recordPrefix+pool.Name)
--- a/internal/modelload/plan.go
+++ b/internal/modelload/plan.go
@@ -17,8 +17,8 @@
 	// engines away at or below shrinkUtilization. The gap between them prevents oscillation.
 	growUtilization   = 0.75
 	shrinkUtilization = 0.5
-	// overloadMargin is the ratio of calls per engine, after the move, above which an engine is moved to another model
-	// under overload.
+	// overloadMargin limits moves under overload: an engine is moved only if the receiving model has more than
+	// overloadMargin times the calls per engine that the other model will have after the move.
 	overloadMargin = 1.25
 )
 
@@ -29,7 +29,7 @@
 	// Model is loaded, or being loaded if Loading is set; empty if no load was ordered yet.
 	Model   string
 	Loading bool
-	// Since is when the engine's model last changed.
+	// Since is the time of the last change of the engine's model.
 	Since time.Time
 }
 
@@ -58,7 +58,7 @@
 	// slots is the mean number of slots per engine.
 	slots float64
 	// assigned is the number of engines by model, including those loading it; need is the number that a model should
-	// have, and keep the number that it may not be reduced below.
+	// have; keep is the number that it normally keeps when engines are moved to other models.
 	assigned, need, keep map[string]int
 	loading              int
 	// overloaded is true if there are fewer engines than needed.
@@ -127,7 +127,7 @@
 }
 
 // allocate distributes a number of engines that is less than the total wanted: one to each model in descending order of
-// demand, as far as they suffice, then each remaining engine to the model with the most calls per engine.
+// demand until none is left, then each remaining engine to the model with the most calls per engine.
 func allocate(wanted map[string]int, demand map[string]float64, engines int) map[string]int {
 	models := slices.Sorted(maps.Keys(wanted))
 	slices.SortStableFunc(models, func(a, b string) int { return cmp.Compare(demand[b], demand[a]) })
@@ -196,8 +196,8 @@
 	return p.Engines[best].Name, true
 }
 
-// improvesBalance reports whether the receiver has more calls per engine than the donor would have after the move, by
-// the overload margin.
+// improvesBalance reports whether the receiver has more than overloadMargin times the calls per engine that the donor would
+// have after the move.
 func (p *plan) improvesBalance(donor, receiver string) bool {
 	if p.assigned[receiver] == 0 {
 		return true
--- a/internal/modelload/view.go
+++ b/internal/modelload/view.go
@@ -22,7 +22,7 @@
 // maxCachedSubsets bounds View.subsets.
 const maxCachedSubsets = 1024
 
-// modelRecord is the value of such a record. Model is empty while the engine is loading.
+// modelRecord is the value of the membership record with an engine's model. Model is empty while the engine is loading.
 type modelRecord struct {
 	Model string `json:"model"`
 }
@@ -69,7 +69,7 @@
 	v.update()
 }
 
-// update clears the cache and wakes those that wait for Changed. The caller holds the mutex.
+// update clears the cache and closes the channel returned by Changed. The caller holds the mutex.
 func (v *View) update() {
 	clear(v.subsets)
 	close(v.changed)
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -89,13 +89,13 @@
 	ProgramMaxSeconds int64 `json:"program_max_seconds,omitempty" yaml:"programMaxSeconds"`
 }
 
-// ServiceType is the protocol of a service's back ends.
+// ServiceType is the protocol of a service's engines.
 type ServiceType string
 
 const (
-	// ServiceModel back ends implement the OpenAI chat-completions API.
+	// ServiceModel engines implement the OpenAI chat-completions API.
 	ServiceModel ServiceType = "model"
-	// ServiceApplication back ends are plain HTTP servers.
+	// ServiceApplication engines are plain HTTP servers.
 	ServiceApplication ServiceType = "application"
 )
 
@@ -120,7 +120,7 @@
 	MaxAttempts int `json:"max_attempts,omitempty" yaml:"maxAttempts"`
 }
 
-// Engine is a back end of a pool.
+// Engine is a server of a pool that runs calls.
 type Engine struct {
 	Name   string `json:"name" yaml:"name"`
 	URL    string `json:"url" yaml:"url"`
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -31,7 +31,7 @@
 		set.resources[item.Key()] = item
 	}
 	for _, item := range set.List() {
-		if err := set.checkReferences(item); err != nil {
+		if err := set.checkAndIndex(item); err != nil {
 			return nil, err
 		}
 		if item.Pool != nil && item.Pool.Loading != nil {
@@ -41,10 +41,11 @@
 	return set, nil
 }
 
-func (s *Set) checkReferences(item Resource) *FieldError {
+// checkAndIndex checks the references of a resource, and adds it to the set's models and limits.
+func (s *Set) checkAndIndex(item Resource) *FieldError {
 	switch item.Kind {
 	case KindService:
-		return s.checkServiceReferences(item)
+		return s.checkAndIndexService(item)
 	case KindLimit:
 		if _, ok := s.Tenant(item.Limit.Tenant); !ok {
 			return item.fieldError("tenant", "there is no tenant %q", item.Limit.Tenant)
@@ -61,7 +62,7 @@
 	return nil
 }
 
-func (s *Set) checkServiceReferences(item Resource) *FieldError {
+func (s *Set) checkAndIndexService(item Resource) *FieldError {
 	service := item.Service
 	if _, ok := s.Pool(service.Pool); !ok {
 		return item.fieldError("pool", "there is no pool %q", service.Pool)
@@ -115,7 +116,7 @@
 	return found.Engines[index], true
 }
 
-// Get returns the resource with a key.
+// Get returns the resource with the given key.
 func (s *Set) Get(key Key) (Resource, bool) {
 	found, ok := s.resources[key]
 	return found, ok
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,7 +37,7 @@
 	Authority   string `yaml:"authority"`
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
-	// Insecure permits plain TCP between nodes. It excludes the files.
+	// Insecure permits plain TCP between nodes. It can't be set together with the files.
 	Insecure bool `yaml:"insecure"`
 }
 
