--- a/cmd/mountstile/admin.go
+++ b/cmd/mountstile/admin.go
@@ -40,7 +40,7 @@
 		}
 		content, err := os.ReadFile(path)
 		if err != nil {
-			return nil, errors.Wrap(err, "reading resources")
+			return nil, errors.Wrap(err, "reading a resource file")
 		}
 		joined.Write(content)
 		joined.WriteString("\n---\n")
--- a/cmd/mountstile/node.go
+++ b/cmd/mountstile/node.go
@@ -42,7 +42,7 @@
 	if path != "" {
 		var err error
 		if content, err = os.ReadFile(path); err != nil {
-			return settings.Settings{}, errors.Wrap(err, "reading settings")
+			return settings.Settings{}, errors.Wrap(err, "reading the settings file")
 		}
 	}
 	config, err := settings.Decode(path, content)
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(config.DrainSeconds*float64(time.Second)))
 	defer cancel()
 	go func() {
-		// A second signal ends the drain early.
+		// A signal during the drain ends it early.
 		<-signals
 		cancel()
 	}()
@@ -144,7 +144,7 @@
 func decodeFile(path string) ([]resource.Resource, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "reading resources")
+		return nil, errors.Wrap(err, "reading a resource file")
 	}
 	return resource.Decode(path, bytes.NewReader(content))
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -47,7 +47,7 @@
 // PlatformTenant is the tenant in the API keys of platform administrators; no Tenant may have this name.
 const PlatformTenant = "platform"
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	Config      *configuration.Manager
 	Membership  *membership.Manager
--- a/internal/admin/cluster.go
+++ b/internal/admin/cluster.go
@@ -46,7 +46,7 @@
 }
 
 // MemberStatus is a member as the serving node sees it, with the status that the member reported or the error
-// of the request for it.
+// of the status request.
 type MemberStatus struct {
 	Member membership.Member `json:"member"`
 	Node   *NodeStatus       `json:"node,omitempty"`
--- a/internal/admin/openapi_test.go
+++ b/internal/admin/openapi_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestTenantOperatorAccess checks that a tenant's operator can't reach other tenants' resources, also if their
+// TestTenantOperatorAccess checks that a tenant's operator can't reach other tenants' resources, even if their
 // names begin with the same letters.
 func TestTenantOperatorAccess(t *testing.T) {
 	sender := identity{tenant: "ann", role: resource.RoleOperator}
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -59,20 +59,20 @@
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return result, apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "%s", err)
+		return result, apierr.New(apierr.PeerUnreachable, apierr.OutcomeUnknown, "reading the node's response: %s", err)
 	}
 	if response.StatusCode != http.StatusOK {
 		var failure errorBody
 		if json.Unmarshal(content, &failure) == nil && failure.Error != nil {
 			return result, failure.Error
 		}
-		return result, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "status %d: %s", response.StatusCode, bytes.TrimSpace(content))
+		return result, apierr.New(apierr.Internal, apierr.OutcomeUnknown, "the node responded with status %d: %s", response.StatusCode, bytes.TrimSpace(content))
 	}
 	return result, errors.Wrap(json.Unmarshal(content, &result), "decoding the response")
 }
 
-// Change identifies a change, so that it can be retried safely, and names the revision that it is based on. Zero
-// values let the node choose an ID and skip the check for conflicts.
+// Change identifies a change, so that it can be retried safely, and names the revision that it is based on. If ID is
+// empty, the node chooses one; if Base is 0, it does not check for conflicts.
 type Change struct {
 	ID   string
 	Base uint64
@@ -177,7 +177,7 @@
 }
 
 // WaitInForce waits until a revision is in force on all live nodes. If ctx is done before, it returns an
-// *ErrLagging with the other nodes.
+// *ErrLagging with the nodes on which it is not.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/configstore/etcdgateway/etcdgateway.go
+++ b/internal/configstore/etcdgateway/etcdgateway.go
@@ -25,7 +25,7 @@
 
 const (
 	maxResponseBytes = 32 << 20
-	// idleTimeout closes the connections of nodes that only read the store before they joined their peers.
+	// idleTimeout is how long an idle connection stays open. Most nodes read the store only until they have joined their peers.
 	idleTimeout = 10 * time.Second
 )
 
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -29,15 +29,15 @@
 	fetchKind      = "config_fetch"
 	fileName       = "configuration.zst"
 
-	// readersPerZone is how many nodes of a zone watch the store; the others fetch from peers.
+	// readersPerZone is the number of nodes of a zone that watch the store; the others fetch from peers.
 	readersPerZone = 2
-	// pollInterval is how often readers poll the store, to find changes that the watch missed.
+	// pollInterval is the interval at which readers poll the store to find changes that the watch missed.
 	pollInterval = 5 * time.Second
 	retryDelay   = time.Second
 	fetchTimeout = 3 * time.Second
 )
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
 	Store      configstore.Store
 	Membership *membership.Manager
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// publishAttempts is how often a change without Base is tried when other publishers commit first.
+	// publishAttempts limits the attempts to publish a change when other publishers commit first.
 	publishAttempts = 8
 	resolveTimeout  = 10 * time.Second
 	storeRetryAfter = 5 * time.Second
@@ -34,11 +34,12 @@
 			return published, m.Install(published)
 		}
 	}
-	return Document{}, apierr.New(apierr.RevisionConflict, apierr.NotRun, "other changes were committed first, in every attempt").WithRetryAfter(time.Second)
+	return Document{}, apierr.New(apierr.RevisionConflict, apierr.NotRun, "other changes were committed first in each of the attempts to publish this one").WithRetryAfter(time.Second)
 }
 
 func (m *Manager) publishOnce(ctx context.Context, change Change) (Document, error) {
-	// Read before the head: a revision in force now is in the store already, and the head can only be newer.
+	// This must be read before the head: the store already holds a revision that is in force, so a head that is read later
+	// can be older only if the store was rolled back.
 	minRevision := max(m.Current().Revision(), m.latestKnown.Load())
 	entry, stored, err := m.readHead(ctx)
 	if err != nil {
@@ -154,6 +155,7 @@
 	if err != nil {
 		return Document{}, false
 	}
+	// Each failed attempt means that at least one other change was committed, so the change may be several revisions back.
 	for revision := stored.Revision; revision > 0 && revision+publishAttempts*2 > stored.Revision; revision-- {
 		document, err := m.readRevision(ctx, revision)
 		if err != nil {
--- a/internal/events/queue.go
+++ b/internal/events/queue.go
@@ -6,17 +6,17 @@
 	"sync/atomic"
 )
 
-// queueCapacity is how many lines may wait to be written.
+// queueCapacity is the maximum number of lines that wait to be written.
 const queueCapacity = 2048
 
 // QueuedWriter writes lines in the background. A line is dropped and counted if the queue is full, so that
 // logging never delays a request.
 type QueuedWriter struct {
-	output  io.Writer
-	lines   chan []byte
-	done    chan struct{}
-	once    sync.Once
-	dropped atomic.Int64
+	output    io.Writer
+	lines     chan []byte
+	done      chan struct{}
+	closeOnce sync.Once
+	dropped   atomic.Int64
 }
 
 // NewQueuedWriter returns a QueuedWriter that writes to output and starts its goroutine; Close ends it.
@@ -42,7 +42,7 @@
 
 // Close writes the queued lines and stops. Lines written after Close are lost.
 func (w *QueuedWriter) Close() {
-	w.once.Do(func() {
+	w.closeOnce.Do(func() {
 		w.lines <- nil
 		<-w.done
 	})
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// contextBefore and contextAfter are how long before and after a request state changes are included.
+	// State changes are included from contextBefore before a request's start until contextAfter after its end.
 	contextBefore = 3 * time.Second
 	contextAfter  = time.Second
 	// maxContextLines limits the context lines of a report.
@@ -105,7 +105,8 @@
 	return string(raw)
 }
 
-// Matches reports whether the line belongs to the request or program with an ID.
+// Matches reports whether the line belongs to the request or program with the given ID, or to a request that continues the turn
+// with that ID.
 func (l Line) Matches(id string) bool {
 	return l.text("request") == id || l.text("program") == id || l.text("previous") == id
 }
@@ -118,17 +119,17 @@
 	context []Line
 }
 
-// NewReport selects the lines that concern the request or program with an ID.
+// NewReport selects the lines that concern the request or program with the given ID.
 func NewReport(lines []Line, id string) Report {
 	report := Report{id: id}
-	nodes := make(map[string]bool)
+	handlers := make(map[string]bool)
 	engines := make(map[string]bool)
 	for _, line := range lines {
 		if !line.Matches(id) {
 			continue
 		}
 		report.lines = append(report.lines, line)
-		nodes[line.node] = true
+		handlers[line.node] = true
 		engines[line.text("engine")] = true
 	}
 	sortByTime(report.lines)
@@ -142,13 +143,13 @@
 			continue
 		}
 		isContext := slices.Contains(contextEvents, line.event)
-		isEngineChange := slices.Contains(engineEvents, line.event) && nodes[line.node] && engines[line.text("engine")]
+		isEngineChange := slices.Contains(engineEvents, line.event) && handlers[line.node] && engines[line.text("engine")]
 		if isContext || isEngineChange {
 			report.context = append(report.context, line)
 		}
 	}
 	sortByTime(report.context)
-	report.context = mergeContext(report.context, nodes)
+	report.context = mergeContext(report.context, handlers)
 	report.context = report.context[:min(len(report.context), maxContextLines)]
 	return report
 }
--- a/internal/explain/merge.go
+++ b/internal/explain/merge.go
@@ -17,8 +17,8 @@
 	return changeKey{name: line.name, epoch: line.text("epoch"), version: line.text("version"), peer: line.text("peer")}
 }
 
-// mergeContext keeps one line for each change that several processes report: that of a process that handled the
-// request, or else the first. It counts the others in that line. context and the result are sorted by time.
+// mergeContext keeps one line for each change that several processes report: the line of a process that handled the
+// request, or else the first line. It counts the other lines in that line. context and the result are sorted by time.
 func mergeContext(context []Line, handlers map[string]bool) []Line {
 	var merged []Line
 	indexes := make(map[changeKey]int)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -156,7 +156,7 @@
 	mutex   sync.RWMutex
 	pair    *tls.Certificate
 	trusted *x509.CertPool
-	// modified is the newest modification time of the loaded files; checked is when it was last compared.
+	// modified is the newest modification time of the loaded files; checked is the time of the latest comparison with it.
 	modified time.Time
 	checked  time.Time
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 		opened, err := net.Listen("tcp", target.setting.Listen)
 		if err != nil {
 			l.close()
-			return errors.Wrap(err, "listening")
+			return errors.Wrap(err, "opening a listener")
 		}
 		*target.listener = opened
 		target.setting.Listen = opened.Addr().String()
