--- a/cmd/mountstile/admin.go
+++ b/cmd/mountstile/admin.go
@@ -28,7 +28,7 @@
 func printJSON(value any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(value), "printing")
+	return errors.Wrap(encoder.Encode(value), "printing the result")
 }
 
 func readFiles(paths []string) ([]byte, error) {
@@ -163,7 +163,7 @@
 	for _, document := range list.Revisions {
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\n", document.Revision, document.At.Format(time.RFC3339), document.Author, joinKeys(document.Upserts), joinKeys(document.Deletes))
 	}
-	return errors.Wrap(table.Flush(), "printing")
+	return errors.Wrap(table.Flush(), "printing the result")
 }
 
 // joinKeys formats keys as a list of KIND/NAME.
@@ -217,7 +217,7 @@
 			member.Node.Ready, member.Node.Revision, member.Node.Active, member.Node.Replicas, member.Node.Leads, member.Node.Unrepaired, member.Node.Programs)
 	}
 	if err := table.Flush(); err != nil {
-		return errors.Wrap(err, "printing")
+		return errors.Wrap(err, "printing the result")
 	}
 	fmt.Printf("revision %d; %d nodes lag\n", status.Revision, len(status.Lagging))
 	return nil
@@ -242,7 +242,7 @@
 	for _, item := range list.Engines {
 		fmt.Fprintf(table, "%s\t%s\t%s\n", item.Pool, item.Engine, item.Model)
 	}
-	return errors.Wrap(table.Flush(), "printing")
+	return errors.Wrap(table.Flush(), "printing the result")
 }
 
 type drainCommand struct {
--- a/cmd/mountstile/policy.go
+++ b/cmd/mountstile/policy.go
@@ -33,7 +33,7 @@
 	}
 	content, err := os.ReadFile(c.Cases)
 	if err != nil {
-		return errors.Wrap(err, "reading cases")
+		return errors.Wrap(err, "reading the cases file")
 	}
 	cases, err := policy.DecodeCases(c.Cases, content)
 	if err != nil {
@@ -85,5 +85,5 @@
 			candidate.Load.Running, candidate.Load.Waiting, candidate.Load.Slots,
 			time.Duration(candidate.Load.WaitMillis)*time.Millisecond, candidate.Slowness, candidate.Reason)
 	}
-	return errors.Wrap(table.Flush(), "printing")
+	return errors.Wrap(table.Flush(), "printing the result")
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -172,7 +172,7 @@
 func (s *Server) authenticate(r *http.Request) (identity, error) {
 	text, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	now := time.Now()
-	refusal := apierr.New(apierr.Unauthenticated, apierr.NotRun, "the key is not valid")
+	refusal := apierr.New(apierr.Unauthenticated, apierr.NotRun, "the API key is not valid")
 	if !isBearer {
 		return identity{}, refusal
 	}
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -470,7 +470,7 @@
 	name := request.Begin.Admit.Service
 	service, known := s.options.Config.Current().Set.Service(name)
 	if failed := call.Attempt - request.ModelRefusals; known && failed >= service.MaxAttempts {
-		return apierr.New(apierr.EngineFailed, apierr.NotRun, "%d engines failed in a row", failed).WithRetryAfter(time.Second)
+		return apierr.New(apierr.EngineFailed, apierr.NotRun, "%d attempts of the call have failed", failed).WithRetryAfter(time.Second)
 	}
 	if !s.retryBudget(name).Take() {
 		return apierr.New(apierr.EngineFailed, apierr.NotRun, "the retry budget of the service is used up").WithRetryAfter(time.Second)
--- a/internal/coordinator/server_test.go
+++ b/internal/coordinator/server_test.go
@@ -46,15 +46,15 @@
 	call := &program.Call{State: program.Admitted, Attempt: 2}
 	message := func() string { return apierr.From(server.checkRetry(request, call), apierr.Ran).Message }
 
-	assert.Equal(t, message(), "2 engines failed in a row")
+	assert.Equal(t, message(), "2 attempts of the call have failed")
 	request.EngineWithoutModel, request.ModelRefusals = "e", 1
 	assert.NilError(t, server.checkRetry(request, call))
 	request.EngineWithoutModel = ""
-	assert.Equal(t, message(), "the retry budget of the service is used up", "one engine has failed")
+	assert.Equal(t, message(), "the retry budget of the service is used up", "one attempt has failed")
 	server.budgets["s"] = limit.NewRetryBudget(0, 1)
 	assert.NilError(t, server.checkRetry(request, call))
 	call.Attempt = 3
-	assert.Equal(t, message(), "2 engines failed in a row")
+	assert.Equal(t, message(), "2 attempts of the call have failed")
 }
 
 // TestQueueTimeIsDeductedFromRetry checks that the queue time before a refusal for a missing model reduces the MaxWait of the
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -102,7 +102,7 @@
 func encode(value any) ([]byte, error) {
 	payload, err := json.Marshal(value)
 	if err != nil {
-		return nil, errors.Wrap(err, "encoding for storage")
+		return nil, errors.Wrap(err, "encoding a value for storage")
 	}
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(payload, castagnoli)), payload...), nil
 }
