--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -47,7 +47,7 @@
 // PlatformTenant is the tenant in the API keys of platform administrators; no Tenant may have this name.
 const PlatformTenant = "platform"
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	Config      *configuration.Manager
 	Membership  *membership.Manager
@@ -172,7 +172,7 @@
 func (s *Server) authenticate(r *http.Request) (identity, error) {
 	text, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	now := time.Now()
-	refusal := apierr.New(apierr.Unauthenticated, apierr.NotRun, "the key is not valid")
+	refusal := apierr.New(apierr.Unauthenticated, apierr.NotRun, "the API key is not valid")
 	if !isBearer {
 		return identity{}, refusal
 	}
