--- a/internal/catalog/mirrors.go
+++ b/internal/catalog/mirrors.go
@@ -22,9 +22,9 @@
 	Zone    string `json:"z"`
 }
 
-// mirrors tracks the nodes that follow this one and serve its catalog to others. Nodes that read the store refer
-// their followers to mirrors, so that they send a long listing, and each change, once for each mirror instead of
-// once for each gateway. It is not safe for concurrent use.
+// mirrors tracks the nodes that follow this one and serve its catalog to others. A node that reads the store
+// refers its followers to mirrors. It then sends long listings and changes once to each mirror instead of once to
+// each gateway. It is not safe for concurrent use.
 type mirrors struct{ lastSeenAt map[Endpoint]time.Time }
 
 func newMirrors() *mirrors { return &mirrors{lastSeenAt: make(map[Endpoint]time.Time)} }
--- a/internal/catalog/mirrors_test.go
+++ b/internal/catalog/mirrors_test.go
@@ -118,7 +118,8 @@
 	assert.Equal(t, manager.followCount, len(peers)+1, "the transfer has stalled")
 }
 
-// Enough peers are followed to have the required number of fresh ones, or all while there are fewer.
+// Enough peers are followed to have the required number of fresh ones, or all while there are fewer. A count above the
+// number of peers means that the store is read.
 func TestFollowCount(t *testing.T) {
 	manager := &Manager{followers: make(map[string]*follower), options: Options{StaleAfter: time.Second, MinFreshPeers: func() int { return 2 }}}
 	peers := []string{"a", "b", "c", "d"}
--- a/internal/catalog/timing.go
+++ b/internal/catalog/timing.go
@@ -5,12 +5,13 @@
 const (
 	// defaultPropagationBound applies if a deployment sets no bound.
 	defaultPropagationBound = 2 * time.Second
-	// watchShare is the share of the bound after which the store answers a watch, even without changes.
-	// replicaStaleShare and gatewayStaleShare are those after which replicas and gateways treat their catalog as
-	// stale. If one reader of the store is partitioned from it, gateways get changes from another reader. If
-	// all readers are, the replicas become stale first and read the store; gateways leave them time for that
-	// before they do the same, and use the rest of the bound to list the store. Without faults,
-	// the age of a catalog hardly exceeds the wait of a watch, since sync times are passed on at once.
+	// The shares are fractions of the propagation bound. After watchShare, the store answers a watch even without
+	// changes. After replicaStaleShare or gatewayStaleShare without a sync, a replica or gateway treats its catalog
+	// as stale. Both exceed watchShare, since without faults a catalog is hardly older than one watch.
+	//
+	// If one reader of the store is partitioned from it, gateways get changes from another reader. If all readers
+	// are, the replicas become stale first and read the store. Gateways become stale later, so that the replicas
+	// have time for that, and use the rest of the bound to list the store themselves.
 	watchShare        = 1.0 / 3
 	replicaStaleShare = 0.6
 	gatewayStaleShare = 0.7
--- a/internal/conversation/conversation.go
+++ b/internal/conversation/conversation.go
@@ -9,7 +9,7 @@
 //
 //	state := conversation.New()
 //	state.Apply(now, record)
-//	turns, missing := state.Chain(now, "turn-7")
+//	turns, missing := state.Chain("turn-7")
 //	charges := state.Charges("program-1")
 package conversation
 
@@ -77,8 +77,8 @@
 	Settled bool
 }
 
-// A replica with little memory holds a charge for every turn within chargeRetention. To save memory, the
-// charges of an account are stored in a slice, equal strings are interned, and changes hold
+// A replica holds many charges, since all of a program's are kept until chargeRetention after the last one. To save
+// memory, the charges of an account are stored in a slice, equal strings are interned, and the change log holds
 // pointers instead of keys.
 
 type storedTurn struct {
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -2,7 +2,8 @@
 
 import "container/list"
 
-// CacheStats counts every block ever created, by what became of it, and the hits and misses of prompts.
+// CacheStats counts all blocks ever created, by whether they were evicted, released or are still cached, and the hits and
+// misses of prompts.
 type CacheStats struct {
 	// Created counts blocks inserted. It equals the sum of the evicted, released and held counts.
 	Created int64 `json:"created"`
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -14,21 +14,24 @@
 
 // Paths of the emulator's control API.
 const (
-	LedgerPath   = "/ledger"
-	StatsPath    = "/stats"
-	FaultsPath   = "/faults"
-	HeldPath     = "/cache/held"
-	maxBodyBytes = 32 << 20
+	LedgerPath = "/ledger"
+	StatsPath  = "/stats"
+	FaultsPath = "/faults"
+	HeldPath   = "/cache/held"
 )
 
+const maxBodyBytes = 32 << 20
+
 // LedgerEntry records one request that the engine accepted.
 type LedgerEntry struct {
-	Program  string `json:"program"`
-	Call     string `json:"call"`
-	Attempt  string `json:"attempt"`
-	Arrived  int64  `json:"arrived"`
-	Messages int    `json:"messages"`
-	Finished bool   `json:"finished"`
+	Program string `json:"program"`
+	Call    string `json:"call"`
+	Attempt string `json:"attempt"`
+	// Arrived is the request's number in order of arrival, from 1.
+	Arrived int64 `json:"arrived"`
+	// Messages is the number of messages in the prompt, without a partial answer.
+	Messages int  `json:"messages"`
+	Finished bool `json:"finished"`
 	// Prompt is a hash of the prompt without a partial answer.
 	Prompt uint64 `json:"prompt"`
 }
@@ -63,7 +66,7 @@
 	Waiting int        `json:"waiting"`
 	Cache   CacheStats `json:"cache"`
 	Tokens  int64      `json:"tokens"`
-	// Loads counts started model loads; RefusedOrders counts orders rejected for a stale token.
+	// Loads counts started model loads; RefusedOrders counts orders rejected for a stale fencing token.
 	Loads         int64 `json:"loads"`
 	RefusedOrders int64 `json:"refused_orders"`
 }
--- a/internal/eventstream/order.go
+++ b/internal/eventstream/order.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// maxTrackedIDs bounds the non-numeric event IDs that are tracked per stream.
+// maxTrackedIDs bounds the non-numeric event IDs that are tracked per stream. A stream with more of them can't be resumed.
 const maxTrackedIDs = 4096
 
 // idOrder detects repeated events by their IDs. Numeric IDs must increase; other IDs must not
--- a/internal/eventstream/scanner.go
+++ b/internal/eventstream/scanner.go
@@ -8,7 +8,7 @@
 	// data is the event's data lines joined by line feeds; hasData is set if it has at least one.
 	data    []byte
 	hasData bool
-	// version is the new version of the weights if it changes with this event.
+	// version is the value of the version field, the new version of the model's weights; empty if the event has none.
 	version string
 }
 
@@ -20,8 +20,8 @@
 	// CRLF.
 	line  []byte
 	event event
-	// hasFields is set once a complete line of the event had a field other than retry. Comments
-	// don't count.
+	// hasFields is set once the event has a complete line with a field other than retry. Comments and retry
+	// fields alone are no event, so a body that ends after them has not lost one.
 	hasFields bool
 	// size is the number of bytes received for the current event.
 	size int
--- a/internal/machinelist/fuzz_test.go
+++ b/internal/machinelist/fuzz_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// FuzzList checks that arbitrary responses are handled, and that only status 200 is accepted.
+// FuzzList checks that no response makes List panic, and that only status 200 is accepted.
 func FuzzList(f *testing.F) {
 	f.Add(http.StatusOK, []byte(`[{"address":"m1","state":"leaving"}]`))
 	f.Add(http.StatusOK, []byte(`{"address":1}`))
--- a/internal/machinelist/machinelist.go
+++ b/internal/machinelist/machinelist.go
@@ -42,7 +42,9 @@
 type ErrUnavailable struct{ Status int }
 
 // Error implements error.
-func (e *ErrUnavailable) Error() string { return "machine list: " + http.StatusText(e.Status) }
+func (e *ErrUnavailable) Error() string {
+	return "the request for the machine list was answered with HTTP status " + http.StatusText(e.Status)
+}
 
 // Client reads the list as JSON over HTTP.
 type Client struct {
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// check checks the invariants that must hold after each step: one leader per term, and budgets.
+// check checks the invariants that must hold after each step: at most one leader per term, and all programs within their
+// token budgets.
 func (s *simulation) check() {
 	for _, node := range s.replicas {
 		if !s.running(node) || node.core.Role() != consensus.Leader {
@@ -133,6 +134,7 @@
 	}
 }
 
+// settleSteps is the maximum number of steps that settle runs; the minimum is half of it.
 const settleSteps = 3000
 
 // settle ends all faults, lets the clients finish their calls, and checks the outcome.
--- a/internal/simulate/ledger.go
+++ b/internal/simulate/ledger.go
@@ -15,7 +15,7 @@
 	operations []*operation
 	// attempts counts the requests of each call that reached the engine.
 	attempts map[string]int
-	// lastSequence is the highest sequence number of each program that reached the engine.
+	// lastSequence is the highest sequence number among the calls that reached the engine, by program.
 	lastSequence map[program.Key]uint64
 	// notRun holds the calls whose callers got the outcome not_run.
 	notRun map[string]bool
@@ -55,7 +55,7 @@
 	l.answered[key] = append(l.answered[key], callID)
 }
 
-// checkBudgets reports programs whose used and reserved tokens exceed the budget.
+// checkBudgets reports programs whose used and reserved tokens exceed the budget, or whose reservation is negative.
 func checkBudgets(node *replica) []string {
 	var violations []string
 	for _, summary := range node.machine.Summaries("") {
--- a/internal/simulate/shrink.go
+++ b/internal/simulate/shrink.go
@@ -61,7 +61,7 @@
 }
 
 // Shrink reduces the fault kinds, then the steps, of a failing run as long as it still fails. It returns the
-// reduced options and their violation.
+// reduced options and the error of their run, or nil if the original run does not fail.
 func Shrink(options Options) (Options, error) {
 	_, violation := Run(options)
 	if violation == nil {
--- a/internal/standin/storeserver/storeserver.go
+++ b/internal/standin/storeserver/storeserver.go
@@ -24,9 +24,10 @@
 	LeaseKeepAlivePath = "/v3/lease/keepalive"
 	LeaseRevokePath    = "/v3/lease/revoke"
 	CountsPath         = "/counts"
-	maxBodyBytes       = 32 << 20
 )
 
+const maxBodyBytes = 32 << 20
+
 // Faults selects the faults that the store injects.
 type Faults struct {
 	// Down rejects every request with status 503 and ends the watches.
@@ -67,7 +68,7 @@
 
 	mutex    sync.Mutex
 	revision int64
-	// compacted is the revision of the last compaction.
+	// compacted is the store's revision at the last compaction.
 	compacted int64
 	// history holds the versions of each key, oldest first.
 	history map[string][]version
--- a/internal/turnlog/compact.go
+++ b/internal/turnlog/compact.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// minCompactionStepBytes is how much of the oldest segment is read after a small write. After a larger one,
-// twice the written bytes are read, so that the log shrinks.
+// After each write, twice the written bytes are read from the oldest segment, so that the log shrinks, but at least
+// minCompactionStepBytes.
 const minCompactionStepBytes = 128 << 10
 
 // compaction is the state of compacting the oldest segment; liveBytes is the size of its live records read so far.
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -115,7 +115,8 @@
 	return builder.String()[:tokens*bytesPerToken]
 }
 
-// start draws a start time; peaked selects a distribution with two peaks over a uniform one.
+// start draws a start time from a uniform distribution. With peaked, and unless UniformStarts is set, 70 % of the times are
+// instead drawn around two peaks, at 30 % and 70 % of Duration.
 func (g *generator) start(peaked bool) time.Duration {
 	position := g.random.Float64()
 	if peaked && !g.options.UniformStarts && g.random.Float64() < 0.7 {
