--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -34,7 +34,7 @@
 	leader string
 	log    *log
 
-	// members is the latest configuration in the log, committed or not.
+	// members are those after the latest membership change in the log, committed or not.
 	members  Members
 	progress map[string]*progress
 	votes    map[string]bool
@@ -80,7 +80,7 @@
 // LeaderID returns the leader of the current term, or "" if it is unknown.
 func (c *Core) LeaderID() string { return c.leader }
 
-// Members returns the latest configuration in the log, committed or not.
+// Members returns the members after the latest membership change in the log, committed or not.
 func (c *Core) Members() Members { return c.members }
 
 // Committed returns the highest committed index.
@@ -185,14 +185,14 @@
 		return 0, 0, &ErrMembersChange{Reason: "more than one voter changes"}
 	}
 	if len(members.Voters) == 0 {
-		return 0, 0, &ErrMembersChange{Reason: "the new configuration has no voters"}
+		return 0, 0, &ErrMembersChange{Reason: "the change leaves no voters"}
 	}
 	next := members.Clone()
 	index = c.appendEntry(Entry{Kind: EntryMembers, Members: &next})
 	return index, c.term, nil
 }
 
-// voterDifference returns the number of voters that are in only one of the two configurations.
+// voterDifference returns the number of voters that are in only one of the two sets of members.
 func voterDifference(before, after Members) int {
 	difference := 0
 	for _, id := range before.Voters {
@@ -250,8 +250,8 @@
 	return entry.Index
 }
 
-// refreshMembers adopts the latest configuration in the log. A configuration takes effect when it is
-// appended, not when it is committed.
+// refreshMembers adopts the latest membership change in the log. A change takes effect when it is appended, not when
+// it is committed.
 func (c *Core) refreshMembers() {
 	c.members = c.log.members(c.log.lastIndex())
 	if c.role != Leader {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -33,7 +33,8 @@
 	c.electionElapsed = max(c.electionElapsed, c.electionTimeout-1-campaignSpacingTicks*rank)
 }
 
-// campaignRank returns this replica's position in the order of campaigns; a learner is last.
+// campaignRank returns this replica's position in the order of campaigns: the remaining voters sorted by ID, rotated by
+// the term. A learner is last.
 func (c *Core) campaignRank(leader string) int {
 	candidates := slices.DeleteFunc(slices.Clone(c.members.Voters), func(id string) bool { return id == leader })
 	slices.Sort(candidates)
@@ -98,13 +99,15 @@
 	case message.Term < c.term:
 		c.respondToStale(message)
 		return
+	// A pre-vote request and its grant carry the term of the election that would follow, which has not begun.
 	case message.Term > c.term && message.Kind != PreVote && !(message.Kind == PreVoteResponse && !message.Reject):
 		c.becomeFollower(message.Term, "")
 	}
 	c.handle(message)
 }
 
-// respondToStale sends the current term to a leader or candidate of an earlier term.
+// respondToStale sends the current term to a leader or pre-candidate of an earlier term, so that it becomes a
+// follower. A Vote of an earlier term gets no response.
 func (c *Core) respondToStale(message Message) {
 	switch message.Kind {
 	case Append, Heartbeat, InstallSnapshot:
@@ -143,9 +146,9 @@
 }
 
 func (c *Core) handleVoteRequest(message Message) {
-	complete := c.log.upToDate(message.Index, message.LogTerm)
+	candidateUpToDate := c.log.upToDate(message.Index, message.LogTerm)
 	if message.Kind == PreVote {
-		granted := complete && message.Term > c.term
+		granted := candidateUpToDate && message.Term > c.term
 		response := Message{Kind: PreVoteResponse, To: message.From, Reject: !granted}
 		if granted {
 			response.Term = message.Term
@@ -153,7 +156,7 @@
 		c.send(response)
 		return
 	}
-	granted := complete && c.role == Follower && (c.vote == "" || c.vote == message.From)
+	granted := candidateUpToDate && c.role == Follower && (c.vote == "" || c.vote == message.From)
 	if granted {
 		c.vote = message.From
 		c.electionElapsed = 0
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -87,7 +87,7 @@
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
-// members returns the latest configuration at or before index.
+// members returns the members of the group after the latest membership change at or before index.
 func (l *log) members(index uint64) Members {
 	for position := min(index, l.lastIndex()); position > l.snapshotIndex; position-- {
 		if found := l.entries[position-l.snapshotIndex-1].Members; found != nil {
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -12,7 +12,8 @@
 	"github.com/mountstile/mountstile/internal/replica"
 )
 
-// updateUnavailable updates the time since when the node of each replica is unavailable.
+// updateUnavailable records when the node of each replica became unavailable, and deletes the record of a node that is
+// usable again.
 func (m *Manager) updateUnavailable() {
 	view := m.options.Membership.View()
 	now := time.Now()
@@ -33,8 +34,9 @@
 	}
 }
 
-// needsReplacement reports whether a replica must be replaced. A node without a data folder that has left
-// does not come back with this replica ID; any other node may be restarted with its data.
+// needsReplacement reports whether a replica must be replaced. A node without a data folder uses its ID, which is new
+// in each run, as its replica ID. Once it has left, the replica can't return; any other node may be restarted with
+// its data.
 func (m *Manager) needsReplacement(view *membership.View, id string) bool {
 	member, known := view.ByReplicaID(id)
 	if known && member.Status == membership.Left && member.ReplicaID == member.ID {
@@ -89,9 +91,8 @@
 	}
 }
 
-// removeObsolete removes the replica of this node if the known members of the group exclude it. The record
-// may predate the addition of this node, and status may be out of date, so the host checks the replica
-// itself.
+// removeObsolete removes the replica of this node if the members of the group that are known from gossip exclude it.
+// These may predate the addition of this node, and status may be out of date, so the host checks the replica itself.
 func (m *Manager) removeObsolete(status replica.Status) {
 	self := m.options.Membership.View().Self.ReplicaID
 	m.mutex.Lock()
@@ -141,7 +142,8 @@
 		healthy--
 	}
 	candidate, found := m.replacement(view, next)
-	// Remove a failed voter only after its replacement is a voter: a smaller group is no safer.
+	// Remove a failed voter only after its replacement is a voter: a group of two voters
+	// needs the same quorum as one of three.
 	if failed != "" && healthy >= ReplicasPerPartition {
 		next.Voters = without(next.Voters, failed)
 		return next, true
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -141,7 +141,7 @@
 
 func (g *group) run() {
 	defer close(g.stopped)
-	defer g.failWaiters(apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "the replica stopped"))
+	defer g.failWaiters(apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "the replica stopped before it applied the command"))
 	for {
 		select {
 		case <-g.stop:
@@ -401,7 +401,7 @@
 	case g.queue <- next:
 		return nil
 	case <-g.stop:
-		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped")
+		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped before it accepted the request")
 	case <-ctx.Done():
 		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "queueing the request at the replica: %s", ctx.Err())
 	}
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -166,8 +166,8 @@
 
 // RemoveObsolete stops a replica and removes its data if it is obsolete: it has no leader, and
 // it has not committed the membership change at index changedAt. The check runs on the goroutine of the
-// replica, after the messages that it has acknowledged: a leader that is adding the replica relies on
-// them, and would wait forever if their data were removed. An error is an error of the storage.
+// replica, so that it sees every entry that the replica has acknowledged: a leader that is adding the replica
+// would wait forever if acknowledged entries were removed. Errors are those of the storage.
 func (h *Host) RemoveObsolete(id uint32, changedAt uint64) error {
 	running := h.get(id)
 	if running == nil || !running.retire(changedAt) {
@@ -199,9 +199,9 @@
 	case result := <-request.result:
 		return result.value, result.err
 	case <-running.stopped:
-		return nil, apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "the replica stopped")
+		return nil, apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "the replica stopped before it returned the result of the command")
 	case <-ctx.Done():
-		return nil, apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "no response from a majority: %s", ctx.Err())
+		return nil, apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "waiting for the command to be applied: %s", ctx.Err())
 	}
 }
 
@@ -228,7 +228,7 @@
 	case err := <-actionFailed:
 		return err
 	case <-running.stopped:
-		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped")
+		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped before it ran the action")
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -196,14 +196,14 @@
 	assert.Assert(t, errors.As(err, &corrupt), "%v", err)
 }
 
-// fullDisk is a storage whose writes fail after a number of successful ones.
-type fullDisk struct {
+// failingStorage is a storage whose writes fail after a number of successful ones.
+type failingStorage struct {
 	MemoryStorage
 	mutex     sync.Mutex
 	remaining int
 }
 
-func (f *fullDisk) Save(uint32, *consensus.HardState, *consensus.Snapshot, []consensus.Entry) error {
+func (f *failingStorage) Save(uint32, *consensus.HardState, *consensus.Snapshot, []consensus.Entry) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.remaining--
@@ -216,7 +216,7 @@
 // The status of a failed replica shows the failure before any of its proposals fails.
 func TestStatusShowsFailureBeforeProposalsFail(t *testing.T) {
 	cluster := newTestCluster(t)
-	host, _ := cluster.start("a", &fullDisk{remaining: 6})
+	host, _ := cluster.start("a", &failingStorage{remaining: 6})
 	failing, err := newGroup(host, 7, &appendMachine{}, StoredGroup{})
 	assert.NilError(t, err)
 	// The second result is received after the status is checked, so fail has not returned at that point.
@@ -232,7 +232,7 @@
 // A replica that cannot write must not acknowledge a command.
 func TestFailedWriteStopsReplica(t *testing.T) {
 	cluster := newTestCluster(t)
-	host, _ := cluster.start("a", &fullDisk{remaining: 6})
+	host, _ := cluster.start("a", &failingStorage{remaining: 6})
 	assert.NilError(t, host.Start(1, &consensus.Members{Voters: []string{"a"}}))
 	acknowledged := 0
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -254,7 +254,7 @@
 // Do must return an error for a failed replica; otherwise it would block the repair of all groups.
 func TestDoReturnsAfterFailure(t *testing.T) {
 	cluster := newTestCluster(t)
-	host, _ := cluster.start("a", &fullDisk{remaining: 6})
+	host, _ := cluster.start("a", &failingStorage{remaining: 6})
 	assert.NilError(t, host.Start(1, &consensus.Members{Voters: []string{"a"}}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		_, err := host.Propose(context.Background(), 1, []byte("x"))
