--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -225,6 +225,7 @@
 	net.inFlight = nil
 	delete(net.stopped, "node7")
 	net.run(time.Minute)
+	// The others declared the paused node dead, and it declared none of them dead.
 	assert.Equal(t, len(net.deaths), 1)
 	for _, address := range net.order {
 		assert.Equal(t, net.usable(net.cores[address]), 30, address)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -42,9 +42,8 @@
 	}
 }
 
-// sendSyncs starts an exchange of tables with a random peer, and with a random seed or dead member that is not
-// known as alive. The second exchange merges the parts of the cluster after a network
-// partition.
+// sendSyncs starts an exchange of members and records with a random peer, and another with a random unreachable
+// address, which merges the parts of the cluster after a network partition.
 func (c *Core) sendSyncs(time.Time) {
 	packet := Packet{Type: Sync, Hashes: slices.Clone(c.hashes[:]), Members: []Member{c.self}}
 	if peers := c.peers(); len(peers) > 0 {
@@ -57,20 +56,20 @@
 
 // unreachableAddresses returns the addresses of seeds and dead members at which no usable member is known.
 func (c *Core) unreachableAddresses() []string {
-	alive := make(map[string]bool, len(c.members))
+	usable := make(map[string]bool, len(c.members))
 	var unreachable []string
 	for _, known := range c.members {
 		if known.member.Usable() {
-			alive[known.member.Address] = true
+			usable[known.member.Address] = true
 		}
 	}
 	for _, known := range c.members {
-		if known.member.Status == Dead && !alive[known.member.Address] {
+		if known.member.Status == Dead && !usable[known.member.Address] {
 			unreachable = append(unreachable, known.member.Address)
 		}
 	}
 	for _, seed := range c.seeds {
-		if !alive[seed] && !slices.Contains(unreachable, seed) {
+		if !usable[seed] && !slices.Contains(unreachable, seed) {
 			unreachable = append(unreachable, seed)
 		}
 	}
@@ -78,7 +77,7 @@
 	return unreachable
 }
 
-// handleSync sends the entries of the buckets that differ from the sender's.
+// handleSync sends the members and records of the buckets whose hashes differ from the sender's.
 func (c *Core) handleSync(packet Packet, source string) {
 	if len(packet.Hashes) != bucketCount {
 		return
@@ -107,7 +106,8 @@
 	}
 }
 
-// handleSyncEntries sends the entries that the peer lacks. The entries of the peer are already merged.
+// handleSyncEntries sends the members and records that the peer lacks or has in an older version. Those of the peer are
+// already merged.
 func (c *Core) handleSyncEntries(packet Packet, source string) {
 	if len(packet.Buckets) == 0 {
 		return
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -68,7 +68,7 @@
 	created := &connection{
 		transport:    t,
 		raw:          raw,
-		reader:       bufio.NewReaderSize(raw, bufferBytes),
+		reader:       bufio.NewReaderSize(raw, connectionBufferBytes),
 		peer:         peer,
 		queue:        make(chan outgoingLine, maxQueuedLines),
 		handlerSlots: make(chan struct{}, maxConcurrentHandlers),
@@ -181,7 +181,7 @@
 func (c *connection) writeLoop() {
 	defer c.transport.tasks.Done()
 	defer c.close()
-	writer := bufio.NewWriterSize(c.raw, bufferBytes)
+	writer := bufio.NewWriterSize(c.raw, connectionBufferBytes)
 	for {
 		select {
 		case line := <-c.queue:
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -33,11 +33,11 @@
 
 const (
 	helloKind = "hello"
-	// MaxLineBytes bounds one line. It leaves ample room for the longest conversation history.
+	// MaxLineBytes bounds one line, which may contain a whole conversation history.
 	MaxLineBytes = 16 << 20
 	// maxHelloBytes bounds the memory that an unauthenticated peer can occupy.
-	maxHelloBytes = 4 << 10
-	bufferBytes   = 4 << 10
+	maxHelloBytes         = 4 << 10
+	connectionBufferBytes = 4 << 10
 )
 
 // ErrLineTooLong means that a peer sent a line of more than Limit bytes.
--- a/internal/transport/liveness.go
+++ b/internal/transport/liveness.go
@@ -12,7 +12,7 @@
 	Pending []uint64 `json:"w"`
 }
 
-// livenessReply lists the probe's requests that the peer is not running. Lines arrive in order, so either
+// livenessReply lists those requests of a livenessProbe that the peer is not running. Lines arrive in order, so either
 // their replies arrived before this one, or the request or its reply was lost.
 type livenessReply struct {
 	Unknown []uint64 `json:"l,omitempty"`
