--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -27,7 +27,7 @@
 type Signal interface {
 	// Fire wakes the waiter; later calls of Wait return at once. It never blocks, and may be called repeatedly.
 	Fire()
-	// Wait returns true once the signal has fired, and false if limit passes or ctx is done before.
+	// Wait returns true once the signal has fired, and false if limit passes or ctx is done first.
 	Wait(ctx context.Context, limit time.Duration) bool
 }
 
--- a/internal/clock/virtual.go
+++ b/internal/clock/virtual.go
@@ -9,12 +9,12 @@
 // Virtual is a clock for deterministic simulations. It runs tasks one at a time in a fixed order, and its time
 // advances only when all tasks are waiting. Tasks must block only in Sleep, Parallel and the Wait of signals.
 type Virtual struct {
-	now     time.Time
-	ready   []*task
-	timers  timerHeap
-	counter uint64
-	current *task
-	yielded chan struct{}
+	now       time.Time
+	ready     []*task
+	timers    timerHeap
+	timersSet uint64
+	current   *task
+	yielded   chan struct{}
 }
 
 type task struct {
@@ -107,8 +107,8 @@
 }
 
 func (v *Virtual) setTimer(waiting *task, duration time.Duration) {
-	v.counter++
-	waiting.wakeup = &timer{at: v.now.Add(max(0, duration)), order: v.counter, task: waiting}
+	v.timersSet++
+	waiting.wakeup = &timer{at: v.now.Add(max(0, duration)), order: v.timersSet, task: waiting}
 	heap.Push(&v.timers, waiting.wakeup)
 }
 
--- a/internal/clock/virtual_test.go
+++ b/internal/clock/virtual_test.go
@@ -37,8 +37,8 @@
 	assert.DeepEqual(t, log, []string{"fast at 1s", "fire at 2s", "woken at 2s", "slow at 3s", "all done at 3s", "gave up at 4s"})
 }
 
-// TestVirtualEnds checks that the cancelled timer of a signal that fired does not advance the time.
-func TestVirtualEnds(t *testing.T) {
+// TestCancelledTimerDoesNotAdvanceTime checks that the cancelled timer of a signal that fired does not advance the time.
+func TestCancelledTimerDoesNotAdvanceTime(t *testing.T) {
 	virtual := NewVirtual(origin)
 	reached := false
 	virtual.Run(func() {
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -56,13 +56,14 @@
 	options Options
 
 	current atomic.Pointer[Snapshot]
-	// installMutex serializes installations.
+	// installMutex makes installations run one at a time, so that the revision never decreases and subscribers are not
+	// called concurrently.
 	installMutex sync.Mutex
 	subscribers  []func(*Snapshot)
 	// latestKnown is the newest revision announced by any node.
 	latestKnown atomic.Uint64
 	wake        chan struct{}
-	// storeRead is set once this node has read the store.
+	// storeRead is set once the revision in force has been compared with the store's.
 	storeRead   atomic.Bool
 	sourceMutex sync.Mutex
 	// source is the address of the node that announced latestKnown; empty if unknown.
@@ -256,6 +257,7 @@
 	}
 }
 
+// isReader reports whether this node watches the store. In a zone without eligible nodes, each node does.
 func (m *Manager) isReader() bool {
 	if m.options.EveryNodeReads {
 		return true
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -34,7 +34,7 @@
 			return published, m.Install(published)
 		}
 	}
-	return Document{}, apierr.New(apierr.RevisionConflict, apierr.NotRun, "other changes were committed first in each of the attempts to publish this one").WithRetryAfter(time.Second)
+	return Document{}, apierr.New(apierr.RevisionConflict, apierr.NotRun, "every attempt to publish the change failed because another change was committed first").WithRetryAfter(time.Second)
 }
 
 func (m *Manager) publishOnce(ctx context.Context, change Change) (Document, error) {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -35,8 +35,8 @@
 	serialBits       = 127
 	certificateBlock = "CERTIFICATE"
 	privateKeyBlock  = "PRIVATE KEY"
-	publicMode       = 0o644
-	privateMode      = 0o600
+	publicFileMode   = 0o644
+	privateFileMode  = 0o600
 	folderMode       = 0o700
 	reloadInterval   = 10 * time.Second
 )
@@ -107,10 +107,10 @@
 	if err != nil {
 		return errors.Wrap(err, "encoding a key")
 	}
-	if err := os.WriteFile(keyPath, pem.EncodeToMemory(&pem.Block{Type: privateKeyBlock, Bytes: encodedKey}), privateMode); err != nil {
+	if err := os.WriteFile(keyPath, pem.EncodeToMemory(&pem.Block{Type: privateKeyBlock, Bytes: encodedKey}), privateFileMode); err != nil {
 		return errors.Wrap(err, "writing a key")
 	}
-	return errors.Wrap(os.WriteFile(certificatePath, pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: encoded}), publicMode), "writing a certificate")
+	return errors.Wrap(os.WriteFile(certificatePath, pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: encoded}), publicFileMode), "writing a certificate")
 }
 
 // CreateNodeCertificate writes a node's key and its certificate, signed by the authority in folder, into folder.
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -22,7 +22,7 @@
 	KindLimit   Kind = "Limit"
 )
 
-// Kinds lists all kinds; a resource only refers to kinds before its own.
+// Kinds lists all kinds. A resource refers only to resources of kinds that precede its own in the list.
 var Kinds = []Kind{KindTenant, KindPolicy, KindPool, KindService, KindLimit}
 
 // Role is the set of permissions of an API key.
