--- a/internal/admin/cluster.go
+++ b/internal/admin/cluster.go
@@ -45,8 +45,8 @@
 	Programs   int `json:"programs"`
 }
 
-// MemberStatus is a member as the serving node sees it, with the status that the member reported or the error
-// of the status request.
+// MemberStatus is a member as known to the node that serves the request, with the status that the member reported or
+// the error of the status request.
 type MemberStatus struct {
 	Member membership.Member `json:"member"`
 	Node   *NodeStatus       `json:"node,omitempty"`
--- a/internal/admin/models.go
+++ b/internal/admin/models.go
@@ -5,15 +5,16 @@
 	"net/http"
 )
 
-// EngineModel is an engine of a loading pool and its model.
+// EngineModel is an engine of a pool that loads models, and the model that the engine has.
 type EngineModel struct {
 	Pool   string `json:"pool"`
 	Engine string `json:"engine"`
-	// Model is empty while the engine loads, and until it is first ordered to load a model.
+	// Model is empty while the engine loads, and until it is first instructed to load a model.
 	Model string `json:"model,omitempty"`
 }
 
-// ModelList lists the engines of loading pools with their models, as the serving node knows them.
+// ModelList lists the engines of pools that load models, with the models that they have according to the node that
+// serves the request.
 type ModelList struct {
 	Engines []EngineModel `json:"engines"`
 }
--- a/internal/admin/openapi_test.go
+++ b/internal/admin/openapi_test.go
@@ -40,9 +40,9 @@
 	changing := operation{changes: true}
 	platform := operation{platform: true}
 	cases := map[string]struct {
-		sender  identity
-		what    operation
-		allowed bool
+		sender    identity
+		requested operation
+		allowed   bool
 	}{
 		"administrator changes":         {identity{role: resource.RoleOperator}, changing, true},
 		"platform reader reads":         {identity{role: resource.RoleReader}, platform, true},
@@ -53,7 +53,7 @@
 	}
 	for name, item := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := authorize(item.sender, item.what)
+			err := authorize(item.sender, item.requested)
 			assert.Equal(t, err == nil, item.allowed)
 			assert.Assert(t, err == nil || apierr.Is(err, apierr.Forbidden))
 		})
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -176,7 +176,7 @@
 	return "revision " + strconv.FormatUint(e.Revision, 10) + " is not in force on " + strconv.Itoa(len(e.Nodes)) + " nodes yet"
 }
 
-// WaitInForce waits until a revision is in force on all live nodes. If ctx is done before, it returns an
+// WaitInForce waits until a revision is in force on all live nodes. If ctx is done first, it returns an
 // *ErrLagging with the nodes on which it is not.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) error {
 	ticker := time.NewTicker(pollInterval)
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -36,7 +36,7 @@
 	AdminKey = "platform.lab." + DemoSecret
 )
 
-// Options configure a cluster.
+// Options configures a cluster.
 type Options struct {
 	// Nodes is the number of nodes. They are assigned to Zones round-robin.
 	Nodes  int
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -19,7 +19,7 @@
 	"github.com/mountstile/mountstile/internal/workload"
 )
 
-// Options configure the demo.
+// Options configures the demo.
 type Options struct {
 	// ExamplesDir is the directory of the example configurations.
 	ExamplesDir string
--- a/internal/lab/experiment/call.go
+++ b/internal/lab/experiment/call.go
@@ -107,7 +107,7 @@
 }
 
 // waitForAnswer counts the answer's tokens until it is complete, and reports whether the engine crashed
-// or stalled before.
+// or stalled before that.
 func (c *simulatedCall) waitForAnswer(ctx context.Context, job *simulatedJob) bool {
 	stalled := !job.first.Wait(ctx, seconds(c.environment.service.FirstTokenSeconds))
 	if c.firstToken.IsZero() && job.generated > 0 {
--- a/internal/lab/modelbench/modelbench.go
+++ b/internal/lab/modelbench/modelbench.go
@@ -21,7 +21,7 @@
 	"github.com/mountstile/mountstile/internal/standin/weightserver"
 )
 
-// Options configure a run.
+// Options configures a run.
 type Options struct {
 	// Engines is the number of engines, with Slots each.
 	Engines int
--- a/internal/lab/pathbench/pathbench.go
+++ b/internal/lab/pathbench/pathbench.go
@@ -50,7 +50,7 @@
 	AddedStreamBytes float64 `json:"added_bytes_per_stream"`
 }
 
-// Options configure the measurements.
+// Options configures the measurements.
 type Options struct {
 	// Calls is the number of sequential calls over each path.
 	Calls int
@@ -69,7 +69,7 @@
 	significantDigits = 3
 	apiKey            = "bench.k." + cluster.DemoSecret
 	// openStreams is the number of streams that are open while memory is measured. The engine's steps take
-	// streamSlowdown times as long then, so that no stream ends before.
+	// streamSlowdown times as long then, so that no stream ends before the measurement.
 	openStreams    = 200
 	streamSlowdown = 2000
 	pollInterval   = 20 * time.Millisecond
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -72,7 +72,7 @@
 	End(ctx context.Context, tenant, program string) error
 }
 
-// Options configure a run against a cluster.
+// Options configures a run against a cluster.
 type Options struct {
 	// Nodes are the URLs of the nodes' public APIs. Each request goes to a random one.
 	Nodes    []string
--- a/internal/lab/statebench/statebench.go
+++ b/internal/lab/statebench/statebench.go
@@ -63,7 +63,7 @@
 	SnapshotMegabytes float64     `json:"snapshot_mb"`
 }
 
-// Options configure the measurements. Seconds is the duration of each throughput measurement,
+// Options configures the measurements. Seconds is the duration of each throughput measurement,
 // Failovers the number of killed leaders, and Programs the number of programs in the snapshot.
 type Options struct {
 	Seconds   float64
@@ -73,12 +73,12 @@
 }
 
 const (
-	groupID       = 1
-	proposers     = 64 // goroutines that propose at the same time in the throughput measurement
-	serialCommits = 300
-	callTokens    = 16
-	startTimeout  = 30 * time.Second
-	callTimeout   = 30 * time.Second
+	groupID           = 1
+	proposers         = 64 // goroutines that propose at the same time in the throughput measurement
+	sequentialCommits = 300
+	callTokens        = 16
+	startTimeout      = 30 * time.Second
+	callTimeout       = 30 * time.Second
 )
 
 // Run runs all measurements.
@@ -225,7 +225,7 @@
 		return err
 	}
 	var latencies []float64
-	for range serialCommits {
+	for range sequentialCommits {
 		started := time.Now()
 		if err := propose(); err != nil {
 			return result, err
--- a/internal/lab/torture/torture.go
+++ b/internal/lab/torture/torture.go
@@ -62,7 +62,7 @@
 	Faults     map[string]int `json:"faults"`
 }
 
-// Options configure a run. Progress receives the name of each injected fault.
+// Options configures a run. Progress receives the name of each injected fault.
 type Options struct {
 	Duration time.Duration
 	Seed     uint64
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	"github.com/mountstile/mountstile/internal/settings"
 )
 
-// Version is the version of the program.
+// Version is the version of Mountstile.
 const Version = "0.1.0"
 
 const (
@@ -265,7 +265,7 @@
 func newRunID(name string) (string, error) {
 	random := make([]byte, runIDBytes)
 	if _, err := rand.Read(random); err != nil {
-		return "", errors.Wrap(err, "generating a node ID")
+		return "", errors.Wrap(err, "generating a run ID")
 	}
 	return name + "-" + hex.EncodeToString(random), nil
 }
@@ -412,7 +412,7 @@
 	}
 }
 
-// Stop announces that the node has left and ends it. Requests in progress are cut off; call Drain before.
+// Stop announces that the node has left and ends it. Requests in progress are cut off; call Drain first.
 func (n *Node) Stop() error {
 	n.plane.Membership.Announce(membership.Left)
 	// The announcement is sent in the background; give it time to go out.
