--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -37,7 +37,7 @@
 	relayUntil map[string]time.Time
 }
 
-// NewClient returns a Client that has no leaders cached.
+// NewClient returns a Client. It learns the leader of each partition from the replicas' responses.
 func NewClient(network *transport.Transport, members *membership.Manager, partitions *partition.Manager) *Client {
 	return &Client{transport: network, membership: members, partitions: partitions, leaders: make(map[uint32]string), relayUntil: make(map[string]time.Time)}
 }
@@ -195,7 +195,7 @@
 	var zero Response
 	address, known := c.address(replicaID)
 	if !known {
-		return zero, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "replica %s is not alive", replicaID)
+		return zero, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "replica %s is not a usable member", replicaID)
 	}
 	if timeout > 0 {
 		var cancel context.CancelFunc
--- a/internal/coordinator/executions.go
+++ b/internal/coordinator/executions.go
@@ -26,7 +26,7 @@
 }
 
 // executionsResponse lists the executions that the gateway does not hold. A gateway holds an execution from before its first
-// message until its last one is answered, and never again, so an execution that is not held sends nothing more.
+// message until the response to its last one. It never holds the same execution again, so one that is not held sends nothing more.
 type executionsResponse struct {
 	Ended []string `json:"ended,omitempty"`
 }
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -14,7 +14,8 @@
 
 const (
 	maintenanceInterval = 500 * time.Millisecond
-	// orphanTimeout is how long an admitted call may be without a driver, so that its caller can retry through another node.
+	// orphanTimeout is how long an admitted call may be without a placement in progress, so that its caller can retry through
+	// another node.
 	orphanTimeout         = 30 * time.Second
 	releaseTimeout        = 3 * time.Second
 	maxConcurrentReleases = 8
@@ -38,7 +39,7 @@
 			if !status.IsLeader {
 				continue
 			}
-			s.settleLostCalls(ctx, status.Group, &tasks)
+			s.handleLostCalls(ctx, status.Group, &tasks)
 			s.expire(ctx, status.Group)
 			s.releaseCaches(ctx, status.Group, &tasks, slots)
 		}
@@ -46,8 +47,8 @@
 	}
 }
 
-// settleLostCalls marks attempts of failed gateways as lost, and fails admitted calls that have no driver.
-func (s *Server) settleLostCalls(ctx context.Context, group uint32, tasks *sync.WaitGroup) {
+// handleLostCalls marks attempts of failed gateways as lost, and fails admitted calls that no request is placing.
+func (s *Server) handleLostCalls(ctx context.Context, group uint32, tasks *sync.WaitGroup) {
 	view := s.options.Membership.View()
 	now := time.Now()
 	var unconfirmed []program.OpenCall
@@ -77,11 +78,11 @@
 	return now.Sub(time.UnixMilli(open.AdmittedAt)) > limit
 }
 
-// orphaned reports whether an admitted call has had no driver for orphanTimeout.
+// orphaned reports whether an admitted call has had no placement in progress for orphanTimeout.
 func (s *Server) orphaned(callID string, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.drivers[callID] != nil {
+	if s.placements[callID] != nil {
 		delete(s.orphanedSince, callID)
 		return false
 	}
--- a/internal/coordinator/models.go
+++ b/internal/coordinator/models.go
@@ -18,7 +18,7 @@
 // Models provides the engines that have loaded a model.
 type Models interface {
 	// Engines returns the engines of a pool that have loaded a model.
-	Engines(name string, pool *resource.Pool, model string) []resource.Engine
+	Engines(poolName string, pool *resource.Pool, model string) []resource.Engine
 	// Changed returns a channel that is closed when the result of Engines may have changed.
 	Changed() <-chan struct{}
 	// ReportDemand reports that a call waits for a model that no engine has loaded.
@@ -35,7 +35,7 @@
 // engine's queue when more engines have loaded the model: otherwise the queued calls that caused the load would not use them.
 func (s *Server) placeOnLoaded(ctx context.Context, request BeginRequest, service *resource.Service, pool *resource.Pool, schedulerCall scheduler.Call, rules *policy.Policy) (scheduler.Decision, error) {
 	deadline := time.Now().Add(schedulerCall.MaxWait)
-	// A call that has waited long is near the front of its queue, and another engine may refuse it.
+	// In the second half of its wait a call keeps its place in the queue: it is near the front, and another engine may refuse it.
 	restartDeadline := deadline.Add(-schedulerCall.MaxWait / 2)
 	for {
 		loaded, err := s.loadedEngines(ctx, request, service.Pool, pool, deadline)
@@ -56,14 +56,14 @@
 
 // loadedEngines returns the engines that have loaded the call's model, and waits until there is one. It returns NoEngine at
 // the deadline, and NotLeader if this node loses leadership.
-func (s *Server) loadedEngines(ctx context.Context, request BeginRequest, name string, pool *resource.Pool, deadline time.Time) ([]resource.Engine, error) {
+func (s *Server) loadedEngines(ctx context.Context, request BeginRequest, poolName string, pool *resource.Pool, deadline time.Time) ([]resource.Engine, error) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		changed := s.options.Models.Changed()
-		if engines := s.options.Models.Engines(name, pool, request.Admit.Model); len(engines) > 0 {
+		if engines := s.options.Models.Engines(poolName, pool, request.Admit.Model); len(engines) > 0 {
 			return engines, nil
 		}
 		s.options.Models.ReportDemand()
@@ -83,12 +83,12 @@
 
 // cancelOnMoreEngines returns a context that is cancelled with errMoreEngines if more than count engines have loaded the model
 // before a deadline. The caller must call stop when the placement has ended.
-func (s *Server) cancelOnMoreEngines(ctx context.Context, name string, pool *resource.Pool, model string, count int, deadline time.Time) (placeCtx context.Context, stop func()) {
+func (s *Server) cancelOnMoreEngines(ctx context.Context, poolName string, pool *resource.Pool, model string, count int, deadline time.Time) (placeCtx context.Context, stop func()) {
 	placeCtx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		for time.Now().Before(deadline) {
 			changed := s.options.Models.Changed()
-			if len(s.options.Models.Engines(name, pool, model)) > count {
+			if len(s.options.Models.Engines(poolName, pool, model)) > count {
 				cancel(errMoreEngines)
 				return
 			}
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -68,10 +68,10 @@
 	mutex sync.Mutex
 	// machines holds the state machine of each partition that has a replica here.
 	machines map[uint32]*program.Machine
-	// drivers holds, by call ID, the function that cancels the call's driver: the one request that places an admitted call on
-	// an engine. Other requests for the call wait for its result.
-	drivers map[string]context.CancelCauseFunc
-	// orphanedSince is when an admitted call was first seen without a driver, by call ID.
+	// placements holds, by call ID, the function that cancels the placement of an admitted call on an engine. A call has one
+	// placement at a time; other requests for the call wait for its result.
+	placements map[string]context.CancelCauseFunc
+	// orphanedSince is when an admitted call was first seen without a placement in progress, by call ID.
 	orphanedSince map[string]time.Time
 	// budgets holds the retry budget of each service.
 	budgets   map[string]*limit.RetryBudget
@@ -92,7 +92,7 @@
 	server := &Server{
 		options:       options,
 		machines:      make(map[uint32]*program.Machine),
-		drivers:       make(map[string]context.CancelCauseFunc),
+		placements:    make(map[string]context.CancelCauseFunc),
 		orphanedSince: make(map[string]time.Time),
 		budgets:       make(map[string]*limit.RetryBudget),
 		decisions:     make(map[string]scheduler.Decision),
@@ -187,7 +187,7 @@
 	return s.budgets[service]
 }
 
-// begin admits a call and drives it until it is dispatched to an engine, or joins the call that it repeats.
+// begin admits a call, places it on an engine and commits the dispatch, or joins the call that it repeats.
 func (s *Server) begin(ctx context.Context, request BeginRequest) (BeginResponse, error) {
 	result, err := s.admitInOrder(ctx, request)
 	if err != nil {
@@ -199,7 +199,7 @@
 		}
 		return BeginResponse{}, result.Error
 	}
-	response, err := s.driveOrJoin(ctx, request, result.Call, priorAttempts{})
+	response, err := s.placeOrJoin(ctx, request, result.Call, priorAttempts{})
 	return response, admittedError(err)
 }
 
@@ -228,7 +228,7 @@
 }
 
 // admittedError changes the outcome of routing errors to OutcomeUnknown once a call was admitted: it is in the log, and the next
-// leader may still drive it for a repeat. Only a committed failure may be NotRun.
+// leader may still place it for a repeat. Only a committed failure may be NotRun.
 func admittedError(err error) error {
 	if err == nil || !apierr.Is(err, apierr.NotLeader) && !apierr.Is(err, apierr.PartitionUnavailable) {
 		return err
@@ -250,9 +250,9 @@
 	return notLeader
 }
 
-// driveOrJoin drives a call that has no driver on this leader. Otherwise it waits until the call has ended or is executed by a
-// gateway.
-func (s *Server) driveOrJoin(ctx context.Context, request BeginRequest, call *program.Call, prior priorAttempts) (BeginResponse, error) {
+// placeOrJoin places an admitted call unless another request on this leader is placing it. Otherwise it waits until the call has
+// ended or is executed by a gateway.
+func (s *Server) placeOrJoin(ctx context.Context, request BeginRequest, call *program.Call, prior priorAttempts) (BeginResponse, error) {
 	machine := s.machine(request.Partition)
 	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
@@ -273,15 +273,15 @@
 		case current.State == program.Dispatching && !request.WaitForEnd:
 			return BeginResponse{CallID: current.ID, RunningAt: current.Gateway}, nil
 		case current.State == program.Admitted:
-			if driveCtx, done := s.startDriving(ctx, current.ID); done != nil {
+			if placeCtx, done := s.startPlacement(ctx, current.ID); done != nil {
 				defer done()
-				return s.drive(driveCtx, request, current, prior)
+				return s.placeAndDispatch(placeCtx, request, current, prior)
 			}
 		}
 		select {
 		case <-changed:
 		case <-ticker.C:
-			// The driver may also have ended without a committed change.
+			// The placement may also have ended without a committed change.
 			if err := s.checkLeadership(request.Partition); err != nil {
 				return BeginResponse{}, err
 			}
@@ -292,36 +292,37 @@
 	}
 }
 
-// startDriving makes this request the only driver of a call on this node. It returns a nil done if the call has a driver already.
-func (s *Server) startDriving(ctx context.Context, callID string) (driveCtx context.Context, done func()) {
+// startPlacement makes this request the only one that places a call on this node. It returns a nil done if another request is
+// placing the call.
+func (s *Server) startPlacement(ctx context.Context, callID string) (placeCtx context.Context, done func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.drivers[callID] != nil {
+	if s.placements[callID] != nil {
 		return nil, nil
 	}
-	driveCtx, cancel := context.WithCancelCause(ctx)
-	s.drivers[callID] = cancel
+	placeCtx, cancel := context.WithCancelCause(ctx)
+	s.placements[callID] = cancel
 	delete(s.orphanedSince, callID)
-	return driveCtx, sync.OnceFunc(func() {
+	return placeCtx, sync.OnceFunc(func() {
 		s.mutex.Lock()
-		delete(s.drivers, callID)
+		delete(s.placements, callID)
 		s.mutex.Unlock()
 		cancel(nil)
 	})
 }
 
-// cancel stops the driver of a call whose caller has disconnected.
+// cancel stops the placement of a call whose caller has disconnected.
 func (s *Server) cancel(callID string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if stop := s.drivers[callID]; stop != nil {
+	if stop := s.placements[callID]; stop != nil {
 		stop(errCancelled)
 	}
 }
 
-// drive waits for an admitted call's predecessors and a concurrency permit, places the call on an engine, and commits the
-// dispatch.
-func (s *Server) drive(ctx context.Context, request BeginRequest, call *program.Call, prior priorAttempts) (BeginResponse, error) {
+// placeAndDispatch waits for an admitted call's predecessors and a concurrency permit, places the call on an engine, and commits
+// the dispatch.
+func (s *Server) placeAndDispatch(ctx context.Context, request BeginRequest, call *program.Call, prior priorAttempts) (BeginResponse, error) {
 	if err := s.awaitPredecessors(ctx, request, call); err != nil {
 		if apierr.Is(err, apierr.NotLeader) {
 			return BeginResponse{}, err
@@ -425,9 +426,9 @@
 // retry commits a lost attempt, and places the call on another engine if it may be retried.
 func (s *Server) retry(ctx context.Context, request RetryRequest) (BeginResponse, error) {
 	begin := request.Begin
-	// This request becomes the driver before the loss is committed. Otherwise a repeat that waits for the call's end could become
-	// the driver, and its gateway lacks the partial answer.
-	driveCtx, done := s.startDriving(ctx, begin.Admit.CallID)
+	// The placement starts before the loss is committed. Otherwise a repeat that waits for the call's end could place the call
+	// for its own gateway, which lacks the partial answer.
+	placeCtx, done := s.startPlacement(ctx, begin.Admit.CallID)
 	if done != nil {
 		defer done()
 	}
@@ -451,13 +452,13 @@
 		return BeginResponse{}, s.failCall(ctx, begin, result.Call, refusal)
 	}
 	if done != nil && result.Call.State == program.Admitted {
-		response, err := s.drive(driveCtx, begin, result.Call, request.priorAttempts())
+		response, err := s.placeAndDispatch(placeCtx, begin, result.Call, request.priorAttempts())
 		return response, admittedError(err)
 	}
 	if done != nil {
 		done()
 	}
-	response, err := s.driveOrJoin(ctx, begin, result.Call, request.priorAttempts())
+	response, err := s.placeOrJoin(ctx, begin, result.Call, request.priorAttempts())
 	return response, admittedError(err)
 }
 
--- a/internal/coordinator/server_test.go
+++ b/internal/coordinator/server_test.go
@@ -37,9 +37,9 @@
 	return &Server{options: ServerOptions{Config: config}, budgets: map[string]*limit.RetryBudget{"s": limit.NewRetryBudget(0, 0)}}
 }
 
-// TestEngineWithoutModelCostsNoRetry checks that an attempt that was refused because the engine had not loaded the model is
+// TestMissingModelIsNotCountedAsFailure checks that an attempt that was refused because the engine had not loaded the model is
 // retried regardless of MaxAttempts and the retry budget, and doesn't count as a failure later.
-func TestEngineWithoutModelCostsNoRetry(t *testing.T) {
+func TestMissingModelIsNotCountedAsFailure(t *testing.T) {
 	server := newTestServer(t, 2)
 	request := RetryRequest{Begin: BeginRequest{Admit: program.Admit{Service: "s", Model: "m"}}}
 	assert.Assert(t, !server.markNotLoaded(request), "the pool is not configured to load models")
@@ -72,9 +72,9 @@
 	assert.Equal(t, wait(11000), time.Duration(0))
 }
 
-// TestRoutingErrorAfterAdmissionIsNotNotRun checks that a routing error after admission is not reported as NotRun, since the call
-// may still run. Committed failures keep their outcome.
-func TestRoutingErrorAfterAdmissionIsNotNotRun(t *testing.T) {
+// TestRoutingErrorAfterAdmissionHasUnknownOutcome checks that a routing error after admission has the outcome OutcomeUnknown, since
+// the call may still run. Committed failures keep their outcome.
+func TestRoutingErrorAfterAdmissionHasUnknownOutcome(t *testing.T) {
 	outcome := func(code apierr.Code, outcome apierr.Outcome) apierr.Outcome {
 		original := apierr.New(code, outcome, "x")
 		original.Leader = "other"
