--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -37,7 +37,7 @@
 	}
 	ctx, cancel := executionContext(r, call.identity.idempotencyKey, call.timeout())
 	defer cancel()
-	answer, err := call.drive(ctx, w, call.admit, call.send)
+	answer, err := call.runAttempts(ctx, w, call.admit, call.send)
 	g.options.Metrics.duration.WithLabelValues(call.service).Observe(time.Since(call.started).Seconds())
 	if err != nil {
 		w.Header().Set(HeaderCall, call.begin.Admit.CallID)
@@ -149,7 +149,7 @@
 	if err == nil {
 		failed = false
 		answer := program.Answer{Status: received.Status, Header: received.Header, Body: received.Body, Trailer: received.Trailer}
-		return e.store(ctx, response, answer)
+		return e.commitAnswer(ctx, response, answer)
 	}
 	if ctx.Err() != nil {
 		failed = false
@@ -157,7 +157,7 @@
 	}
 	var tooLarge *engine.ErrResponseTooLarge
 	if errors.As(err, &tooLarge) {
-		return nil, nil, e.settleFailure(ctx, response, apierr.New(apierr.EngineFailed, apierr.Ran, "%s", err), &program.Usage{})
+		return nil, nil, e.commitFailure(ctx, response, apierr.New(apierr.EngineFailed, apierr.Ran, "%s", err), &program.Usage{})
 	}
 	var undelivered *engine.ErrNotSent
 	e.avoid = append(e.avoid, target.Name)
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -69,7 +69,7 @@
 	case len(c.Messages) == 0:
 		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "at least one message is required").WithField("messages")
 	case c.MaxTokens < 0:
-		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "must be above 0").WithField("max_tokens")
+		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "must not be negative").WithField("max_tokens")
 	case fields.N != nil && *fields.N != 1:
 		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "only 1 choice per request is supported").WithField("n")
 	}
--- a/internal/gateway/chat_execution.go
+++ b/internal/gateway/chat_execution.go
@@ -42,7 +42,7 @@
 	if e.request.Stream {
 		e.follow = e.followRunning
 	}
-	answer, err := e.drive(ctx, w, e.admitWithHistory, e.attempt)
+	answer, err := e.runAttempts(ctx, w, e.admitWithHistory, e.attempt)
 	e.publisher.close()
 	e.gateway.options.Metrics.duration.WithLabelValues(e.service).Observe(time.Since(e.started).Seconds())
 	if err != nil {
@@ -201,11 +201,11 @@
 			return nil, e.retryRequest(response, false), nil
 		}
 		failure := apierr.New(apierr.InvalidRequest, apierr.Ran, "%s", refused)
-		return nil, nil, e.settleFailure(ctx, response, failure, &program.Usage{})
+		return nil, nil, e.commitFailure(ctx, response, failure, &program.Usage{})
 	case e.toolCalls.hasStarted():
 		// Another engine can't resume a partial tool call.
 		failure := apierr.New(apierr.EngineFailed, apierr.Ran, "%s", cause)
-		return nil, nil, e.settleFailure(ctx, response, failure, nil)
+		return nil, nil, e.commitFailure(ctx, response, failure, nil)
 	}
 	return nil, e.retryRequest(response, false), nil
 }
@@ -321,5 +321,5 @@
 		return nil, nil, err
 	}
 	answer := program.Answer{Message: message, FinishReason: e.finishReason, Model: e.request.Model, Usage: e.usage.usage()}
-	return e.store(ctx, response, answer)
+	return e.commitAnswer(ctx, response, answer)
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -42,9 +42,9 @@
 	return time.Duration((e.settings.CallSeconds + e.settings.QueueSeconds) * float64(time.Second))
 }
 
-// drive admits a call and makes attempts until one is committed or the coordinator refuses another.
-func (e *execution) drive(ctx context.Context, w http.ResponseWriter, admit func(context.Context) (coordinator.BeginResponse, error), try attempt) (*program.Answer, error) {
-	defer e.hold()()
+// runAttempts admits a call and makes attempts until one is committed or the coordinator refuses another.
+func (e *execution) runAttempts(ctx context.Context, w http.ResponseWriter, admit func(context.Context) (coordinator.BeginResponse, error), try attempt) (*program.Answer, error) {
+	defer e.holdExecution()()
 	requestedAt := time.Now()
 	response, err := admit(ctx)
 	for {
@@ -80,8 +80,8 @@
 	}
 }
 
-// hold keeps the execution in the set that coordinators check until release is called.
-func (e *execution) hold() (release func()) {
+// holdExecution keeps the execution in the set that coordinators check until release is called.
+func (e *execution) holdExecution() (release func()) {
 	return e.gateway.options.Executions.Hold(e.begin.Execution)
 }
 
@@ -125,8 +125,8 @@
 	return retry
 }
 
-// store commits an answer.
-func (e *execution) store(ctx context.Context, response coordinator.BeginResponse, answer program.Answer) (*program.Answer, *coordinator.RetryRequest, error) {
+// commitAnswer commits an answer.
+func (e *execution) commitAnswer(ctx context.Context, response coordinator.BeginResponse, answer program.Answer) (*program.Answer, *coordinator.RetryRequest, error) {
 	if answer.Usage.Total() > e.begin.Admit.Reserve {
 		e.gateway.options.Logger.Emit(events.BudgetOverrun, events.F("call", response.CallID), events.F("tokens", answer.Usage.Total()))
 	}
@@ -137,7 +137,7 @@
 	result, err := e.gateway.options.Coordinator.Finish(context.WithoutCancel(ctx), request)
 	if err != nil {
 		// The call must not stay open, or repeats of it would wait for an end that never comes.
-		release := e.hold()
+		release := e.holdExecution()
 		go func() {
 			defer release()
 			e.gateway.retryFinish(request)
@@ -145,7 +145,7 @@
 	}
 	switch {
 	case err != nil:
-		return nil, nil, unknownOutcome(err)
+		return nil, nil, withUnknownOutcome(err)
 	case result.Error != nil:
 		return nil, nil, result.Error
 	case result.State != program.Completed:
@@ -154,31 +154,31 @@
 	return &answer, nil, nil
 }
 
-// unknownOutcome sets the outcome of a failure after sending to OutcomeUnknown, so that it is never reported as NotRun.
-func unknownOutcome(err error) error {
+// withUnknownOutcome sets the outcome of a failure after sending to OutcomeUnknown, so that it is never reported as NotRun.
+func withUnknownOutcome(err error) error {
 	failure := *apierr.From(err, apierr.OutcomeUnknown)
 	failure.Outcome = apierr.OutcomeUnknown
 	return &failure
 }
 
-// settleFailure commits that the call ends without an answer, and returns the error for the caller.
-func (e *execution) settleFailure(ctx context.Context, response coordinator.BeginResponse, failure *apierr.Error, usage *program.Usage) error {
+// commitFailure commits that the call ends without an answer, and returns the error for the caller.
+func (e *execution) commitFailure(ctx context.Context, response coordinator.BeginResponse, failure *apierr.Error, usage *program.Usage) error {
 	_, err := e.gateway.options.Coordinator.Fail(context.WithoutCancel(ctx), coordinator.FailRequest{
 		Partition: e.begin.Partition,
 		Fail:      program.Fail{CallID: response.CallID, Program: e.identity.key, Attempt: response.Attempt, Error: failure, Usage: usage},
 	})
 	if err != nil && !apierr.Is(err, failure.Code) {
-		return unknownOutcome(err)
+		return withUnknownOutcome(err)
 	}
 	return failure
 }
 
-// abandon commits the failure of a call whose caller has disconnected, or whose time is over, after it was dispatched.
+// abandon commits the failure of a call whose caller has disconnected, or whose timeout has passed, after it was dispatched.
 func (e *execution) abandon(callID string, attempt int) error {
 	failure := apierr.New(apierr.Cancelled, apierr.OutcomeUnknown, "the call was cancelled before its answer was complete")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.CallSeconds*float64(time.Second)))
 	defer cancel()
-	return e.settleFailure(ctx, coordinator.BeginResponse{CallID: callID, Attempt: attempt}, failure, nil)
+	return e.commitFailure(ctx, coordinator.BeginResponse{CallID: callID, Attempt: attempt}, failure, nil)
 }
 
 const (
--- a/internal/gateway/parse_test.go
+++ b/internal/gateway/parse_test.go
@@ -21,7 +21,7 @@
 		request, err := parseChat(body)
 		if err != nil {
 			if !apierr.Is(err, apierr.InvalidRequest) || apierr.From(err, apierr.Ran).Outcome != apierr.NotRun {
-				t.Fatalf("%v", err)
+				t.Fatalf("not an InvalidRequest error with outcome NotRun: %v", err)
 			}
 			return
 		}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -21,7 +21,7 @@
 	u.follow(u.completion())
 }
 
-// follow sets the length of the answer so far to the given number of tokens.
+// follow sets the length of the answer so far, in tokens. The answer may have been received from another gateway.
 func (u *usageCounter) follow(tokens int64) {
 	u.previous = tokens
 	u.reported, u.deltas = 0, 0
