--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -133,7 +133,7 @@
 	return member.Address, known && member.Usable()
 }
 
-// handleMembershipChange starts elections in the groups that a failed or departed member led.
+// handleMembershipChange starts elections in the partitions that a failed or departed member led.
 func (p *Plane) handleMembershipChange(change membership.Change) {
 	if change.Member != nil && !change.Member.Usable() {
 		p.Host.PeerDown(change.Member.ReplicaID)
@@ -187,7 +187,7 @@
 	return errors.Wrap(p.options.Storage.Close(), "closing storage")
 }
 
-// maxOwners limits the nodes that are tried in turn for a slot, the owner first, if nodes can't be reached.
+// maxOwners is the maximum number of nodes, including the owner, that are asked in turn for a slot on an engine.
 const maxOwners = 3
 
 // EngineOwners returns up to maxOwners nodes by their rank for an engine. The first is the owner, the others replace it if it can't
--- a/internal/control/identity.go
+++ b/internal/control/identity.go
@@ -16,9 +16,9 @@
 	conflictLogInterval = time.Minute
 )
 
-// awaitIdentity waits until this node has synced the members and no other live member at another address has its replica ID. It
-// returns false if the context has ended first. It guards against a copied data folder: two replicas with one ID could vote twice
-// in a term. The ID of a folder that was moved with its disk is free once the former node is known to have failed.
+// awaitIdentity waits until this node has synced the member list and no other live member at another address has its replica ID.
+// It returns false if the context has ended first. It guards against a copied data folder: two replicas with one ID could vote
+// twice in a term. A folder may be moved to another host; its ID can be used there once the former node is known to have failed.
 func (p *Plane) awaitIdentity(ctx context.Context) bool {
 	ticker := time.NewTicker(identityInterval)
 	defer ticker.Stop()
@@ -41,13 +41,13 @@
 	}
 }
 
-// membersKnown reports whether a member with the same replica ID would be known. A node without a data folder has a unique replica
-// ID, and a node without other seeds is the first of its cluster.
+// membersKnown reports whether this node would know of another member with its replica ID. A node without a data folder has a
+// unique replica ID, and a node without other seeds is the first of its cluster.
 func (p *Plane) membersKnown() bool {
 	self := p.options.Self
 	isSelf := func(seed string) bool { return seed == self.Address }
-	first := len(slices.DeleteFunc(slices.Clone(p.options.Seeds), isSelf)) == 0
-	return self.ReplicaID == self.ID || first || p.Membership.Synced()
+	isFirstNode := len(slices.DeleteFunc(slices.Clone(p.options.Seeds), isSelf)) == 0
+	return self.ReplicaID == self.ID || isFirstNode || p.Membership.Synced()
 }
 
 // conflictingMember returns another usable member with this node's replica ID at another address.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -65,7 +65,8 @@
 	return s.requests
 }
 
-// A request must reach the engine only once, whatever its method and headers, even if a reused connection breaks.
+// TestRequestIsNotReplayed checks that a request reaches the engine only once, whatever its method and headers, even if a reused
+// connection breaks.
 func TestRequestIsNotReplayed(t *testing.T) {
 	requests := map[string]ApplicationRequest{
 		"GET":                  {Method: http.MethodGet},
@@ -108,7 +109,7 @@
 	assert.Assert(t, errors.As(err, &notSent), "%v", err)
 }
 
-// The size of a response must be bounded, as it is held in memory.
+// TestOversizedResponseIsError checks that the size of a response is bounded, since it is held in memory.
 func TestOversizedResponseIsError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -213,7 +214,7 @@
 	assert.DeepEqual(t, header, http.Header{"X-Kept": {"3"}})
 }
 
-// Cancelling a call must cancel the request at the engine.
+// TestCancelClosesEngineRequest checks that cancelling a call cancels the request at the engine.
 func TestCancelClosesEngineRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -236,7 +237,7 @@
 	<-cancelled
 }
 
-// The trailers of an application's response must be returned.
+// TestTrailersAreReturned checks that the trailers of an application's response are returned.
 func TestTrailersAreReturned(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -253,7 +254,7 @@
 	assert.Equal(t, string(response.Body), "body")
 }
 
-// A null tool_calls member must not count as a tool call.
+// TestNullToolCallsAreIgnored checks that a null tool_calls member does not count as a tool call.
 func TestNullToolCallsAreIgnored(t *testing.T) {
 	delta, err := streamOf(`data: {"choices":[{"delta":{"role":"assistant","tool_calls":null}}]}` + "\n").Next()
 	assert.NilError(t, err)
--- a/internal/engine/steptimer_test.go
+++ b/internal/engine/steptimer_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Steps that are delayed by prompts of other calls must not raise the estimate, and too few chunks give none.
+// TestStepTimeIgnoresInterruptedSteps checks that steps that are delayed by prompts of other calls do not raise the estimate, and
+// that too few chunks give none.
 func TestStepTimeIgnoresInterruptedSteps(t *testing.T) {
 	var timer StepTimer
 	now := time.Unix(1000, 0)
--- a/internal/engine/truncated_response_test.go
+++ b/internal/engine/truncated_response_test.go
@@ -33,7 +33,8 @@
 	return Target{URL: "http://" + listener.Addr().String()}
 }
 
-// An application's response whose framing shows that it is truncated must return an error, so that it is not stored.
+// TestTruncatedApplicationResponseIsError checks that an application's response whose framing shows that it is truncated gives an
+// error, so that it is not stored.
 func TestTruncatedApplicationResponseIsError(t *testing.T) {
 	const header = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
 	responses := map[string]string{
@@ -57,7 +58,8 @@
 	}
 }
 
-// A streamed response is complete if and only if it ends with the [DONE] marker, independent of HTTP framing.
+// TestModelStreamEndsWithDoneMarker checks that a streamed response is complete if and only if it ends with the [DONE] marker,
+// independent of HTTP framing.
 func TestModelStreamEndsWithDoneMarker(t *testing.T) {
 	const complete = `data: {"choices":[{"delta":{"content":"a"},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n"
 	const incomplete = `data: {"choices":[{"delta":{"content":"a"}}]}` + "\n\n"
--- a/internal/modelload/plan_test.go
+++ b/internal/modelload/plan_test.go
@@ -59,8 +59,8 @@
 	assert.DeepEqual(t, Plan(input), []Assignment{{"e02", "a"}})
 }
 
-// With constant demand, repeated plans must reach a stable state in which each model with demand has an engine if there
-// are enough engines.
+// TestPlanConverges checks that, with constant demand, repeated plans reach a stable state in which each model with demand has an
+// engine if there are enough engines.
 func TestPlanConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := []string{"a", "b", "c", "d"}
--- a/internal/modelload/view.go
+++ b/internal/modelload/view.go
@@ -76,7 +76,7 @@
 	v.changed = make(chan struct{})
 }
 
-// MarkNotLoaded takes an engine out of use that has refused a call because it has not loaded the model in its record.
+// MarkNotLoaded takes an engine out of use after it refused a call because it has not loaded the model in its record.
 // The record is stale if the node that ordered another model failed before it distributed the new record; without the
 // mark, calls would be sent to the engine and refused until a new leader polls it. MarkNotLoaded returns false if
 // the engine is already considered not to have the model.
@@ -134,7 +134,7 @@
 }
 
 // Engines returns the engines of a pool that have loaded a model. The slice must not be changed.
-func (v *View) Engines(name string, pool *resource.Pool, model string) []resource.Engine {
+func (v *View) Engines(poolName string, pool *resource.Pool, model string) []resource.Engine {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := time.Now()
@@ -145,7 +145,7 @@
 	}
 	var subset []resource.Engine
 	for _, engine := range pool.Engines {
-		if v.effectiveModel(name+"/"+engine.Name, now) == model {
+		if v.effectiveModel(poolName+"/"+engine.Name, now) == model {
 			subset = append(subset, engine)
 		}
 	}
--- a/internal/modelload/view_test.go
+++ b/internal/modelload/view_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// An engine marked as not loaded is not used until a new record arrives or the mark expires, and waiters for a change
-// are notified once.
+// TestNotLoadedEngineIsNotUsed checks that an engine marked as not loaded is not used until a new record arrives or the mark
+// expires, and that waiters for a change are notified once.
 func TestNotLoadedEngineIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view, pool := newTestView()
@@ -76,7 +76,8 @@
 	return engine.ModelState{Token: 1, Model: "b"}, nil
 }
 
-// A report that an engine has not loaded its model causes one early poll of that engine and of no other.
+// TestNotLoadedEngineIsPolledAgain checks that a report that an engine has not loaded its model causes one early poll of that
+// engine and of no other.
 func TestNotLoadedEngineIsPolledAgain(t *testing.T) {
 	polls := make(pollCounter)
 	manager := &Manager{options: Options{Loader: polls, Logger: events.Discard()}, reports: newDemandTable()}
--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -248,7 +248,7 @@
 	e.cancelled[ticket] = now
 }
 
-// accept reports whether a request was not cancelled before it arrived, and forgets the cancellation.
+// accept returns false if the request was cancelled before it arrived, and removes the cancellation.
 func (e *engineState) accept(ticket uint64) bool {
 	_, found := e.cancelled[ticket]
 	delete(e.cancelled, ticket)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -97,7 +97,7 @@
 	return known && !member.Usable()
 }
 
-// find looks an engine up in the configuration in force.
+// find looks an engine up in the current configuration.
 func (o *Owner) find(name string) (resource.Engine, bool) {
 	for _, item := range o.config.Current().Set.List() {
 		if item.Pool == nil {
--- a/internal/owner/queues.go
+++ b/internal/owner/queues.go
@@ -16,7 +16,7 @@
 // QueuesOptions configures Queues.
 type QueuesOptions struct {
 	Clock clock.Clock
-	// FindEngine returns an engine of the configuration in force.
+	// FindEngine returns an engine of the current configuration.
 	FindEngine func(name string) (resource.Engine, bool)
 	// GatewayLost reports whether a gateway is known to have failed or left, so that its reservations can be freed.
 	GatewayLost func(gateway string) bool
--- a/internal/policy/cache.go
+++ b/internal/policy/cache.go
@@ -8,7 +8,7 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// Cache holds the compiled policies of the configuration in force. It is safe for concurrent use.
+// Cache holds the compiled policies of the current configuration. It is safe for concurrent use.
 type Cache struct {
 	mutex   sync.RWMutex
 	byName  map[string]*Policy
--- a/internal/policy/cases.go
+++ b/internal/policy/cases.go
@@ -83,8 +83,8 @@
 	return fmt.Sprintf("FAIL %s: got %v, expected %v", r.Case.Name, r.Got, r.Case.Expect)
 }
 
-// RunCases evaluates cases with the policies that they name. It fails if a case can't be run; a hook that fails is in its
-// CaseResult.
+// RunCases evaluates cases with the policies that they name. It fails if a policy or an input is invalid; an unknown or failing
+// hook is reported in its CaseResult.
 func RunCases(policies map[string]resource.Policy, cases []Case) ([]CaseResult, error) {
 	var results []CaseResult
 	for _, item := range cases {
--- a/internal/program/lifecycle.go
+++ b/internal/program/lifecycle.go
@@ -91,6 +91,7 @@
 	}
 }
 
+// retention returns how long an ended call is kept, in milliseconds.
 func (c *Call) retention() int64 {
 	if c.IdempotencyKey != "" {
 		return CallRetentionMillis
@@ -116,6 +117,7 @@
 func (m *Machine) ExpiryDue(at int64) bool {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
+	// exceededLimit and removable use only the machine's time, which must not change here.
 	future := &Machine{now: max(m.now, at)}
 	for _, program := range m.programs {
 		if future.exceededLimit(program) != "" || future.removable(program) {
@@ -274,7 +276,7 @@
 	return nil
 }
 
-// OpenCallsBefore returns the ids of the calls before sequence that have not ended.
+// OpenCallsBefore returns the IDs of the calls with a sequence number below sequence that have not ended.
 func (m *Machine) OpenCallsBefore(key Key, sequence uint64) []string {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
--- a/internal/program/machine_test.go
+++ b/internal/program/machine_test.go
@@ -299,7 +299,7 @@
 		}
 		for _, summary := range machine.Summaries("") {
 			if summary.Reserved < 0 || summary.Used < 0 {
-				t.Fatalf("%+v", summary)
+				t.Fatalf("negative use or reservation: %+v", summary)
 			}
 		}
 		snapshot, err := machine.Snapshot()
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -90,7 +90,7 @@
 	for _, candidate := range ranked[:min(maxReserveAttempts, len(ranked))] {
 		response, err := s.reserveOn(ctx, candidate.Engine, request, decision)
 		if err != nil {
-			refusal = apierr.New(apierr.NoEngine, apierr.NotRun, "the engine's owner is unreachable: %s", err).WithRetryAfter(time.Second)
+			refusal = apierr.New(apierr.NoEngine, apierr.NotRun, "reserving a slot at the engine's owner: %s", err).WithRetryAfter(time.Second)
 			continue
 		}
 		if response.Granted {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -26,13 +26,13 @@
 	requested       []string
 }
 
-func (o *fakeReserver) Reserve(_ context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
-	o.requested = append(o.requested, engine.Name)
-	if o.unreachable[engine.Name] {
-		return owner.ReserveResponse{}, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "gone")
+func (r *fakeReserver) Reserve(_ context.Context, engine resource.Engine, request owner.ReserveRequest) (owner.ReserveResponse, error) {
+	r.requested = append(r.requested, engine.Name)
+	if r.unreachable[engine.Name] {
+		return owner.ReserveResponse{}, apierr.New(apierr.PeerUnreachable, apierr.NotRun, "the owner is unreachable")
 	}
-	granted := o.free[engine.Name] || request.WaitMillis > 0 && o.grantsAfterWait[engine.Name]
-	return owner.ReserveResponse{Granted: granted, Loads: o.loads, RetryAfter: 700}, nil
+	granted := r.free[engine.Name] || request.WaitMillis > 0 && r.grantsAfterWait[engine.Name]
+	return owner.ReserveResponse{Granted: granted, Loads: r.loads, RetryAfter: 700}, nil
 }
 
 func newScheduler(reserver Reserver) *Scheduler {
