--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -379,7 +379,7 @@
 	}
 }
 
-// TestDrainedEngineGetsNoCalls checks that an engine gets no new calls once its drain is in force.
+// TestDrainedEngineGetsNoCalls checks that an engine gets no new calls once the configuration that drains it is applied.
 func TestDrainedEngineGetsNoCalls(t *testing.T) {
 	system := startCluster(t, 2)
 	client := runner.NewClient(apiKey)
--- a/test/path/resume_test.go
+++ b/test/path/resume_test.go
@@ -77,7 +77,7 @@
 // usage sends a final event with the usage.
 func (r *scriptedAttempt) usage() { r.sendEvent(`{"choices":[],` + r.usageField() + `}`) }
 
-// done sends the end mark, [DONE].
+// done sends the done marker, [DONE].
 func (r *scriptedAttempt) done() { r.sendEvent("[DONE]") }
 
 // rest sends the correct continuation.
@@ -104,35 +104,35 @@
 
 // invalidContinuations are responses to a request for a continuation that must not be taken for one.
 var invalidContinuations = map[string]func(*scriptedAttempt){
-	"status 500 with an error":  func(r *scriptedAttempt) { r.respond(500, "application/json", errorObject) },
-	"status 500 with a stream":  func(r *scriptedAttempt) { r.respond(500, "text/event-stream", otherAnswer) },
-	"status 503 with HTML":      func(r *scriptedAttempt) { r.respond(503, "text/html", "<html></html>") },
-	"status 429":                func(r *scriptedAttempt) { r.respond(429, "application/json", errorObject) },
-	"status 400":                func(r *scriptedAttempt) { r.respond(400, "application/json", errorObject) },
-	"status 401":                func(r *scriptedAttempt) { r.respond(401, "application/json", errorObject) },
-	"status 404 with a stream":  func(r *scriptedAttempt) { r.respond(404, "text/event-stream", otherAnswer) },
-	"status 302":                func(r *scriptedAttempt) { r.Header().Set("Location", "/elsewhere"); r.WriteHeader(302) },
-	"status 204":                func(r *scriptedAttempt) { r.WriteHeader(204) },
-	"status 202 with a stream":  func(r *scriptedAttempt) { r.respond(202, "text/event-stream", otherAnswer) },
-	"status 206 with a stream":  func(r *scriptedAttempt) { r.respond(206, "text/event-stream", otherAnswer) },
-	"HTML":                      func(r *scriptedAttempt) { r.respond(200, "text/html", "<html>data: [DONE]</html>\n") },
-	"an error as an object":     func(r *scriptedAttempt) { r.respond(200, "application/json", errorObject) },
-	"an error and the end mark": func(r *scriptedAttempt) { r.respond(200, "application/json", errorObject+"\n\ndata: [DONE]\n\n") },
+	"status 500 with an error":     func(r *scriptedAttempt) { r.respond(500, "application/json", errorObject) },
+	"status 500 with a stream":     func(r *scriptedAttempt) { r.respond(500, "text/event-stream", otherAnswer) },
+	"status 503 with HTML":         func(r *scriptedAttempt) { r.respond(503, "text/html", "<html></html>") },
+	"status 429":                   func(r *scriptedAttempt) { r.respond(429, "application/json", errorObject) },
+	"status 400":                   func(r *scriptedAttempt) { r.respond(400, "application/json", errorObject) },
+	"status 401":                   func(r *scriptedAttempt) { r.respond(401, "application/json", errorObject) },
+	"status 404 with a stream":     func(r *scriptedAttempt) { r.respond(404, "text/event-stream", otherAnswer) },
+	"status 302":                   func(r *scriptedAttempt) { r.Header().Set("Location", "/elsewhere"); r.WriteHeader(302) },
+	"status 204":                   func(r *scriptedAttempt) { r.WriteHeader(204) },
+	"status 202 with a stream":     func(r *scriptedAttempt) { r.respond(202, "text/event-stream", otherAnswer) },
+	"status 206 with a stream":     func(r *scriptedAttempt) { r.respond(206, "text/event-stream", otherAnswer) },
+	"HTML":                         func(r *scriptedAttempt) { r.respond(200, "text/html", "<html>data: [DONE]</html>\n") },
+	"an error as an object":        func(r *scriptedAttempt) { r.respond(200, "application/json", errorObject) },
+	"an error and the done marker": func(r *scriptedAttempt) { r.respond(200, "application/json", errorObject+"\n\ndata: [DONE]\n\n") },
 	"a whole answer as an object": func(r *scriptedAttempt) {
 		r.respond(200, "application/json", `{"choices":[{"index":0,"message":{"role":"assistant","content":"other"},"finish_reason":"stop"}]}`)
 	},
-	"an empty body":                func(r *scriptedAttempt) { r.WriteHeader(200) },
-	"an empty stream":              func(r *scriptedAttempt) { r.chunks(0); r.WriteHeader(200) },
-	"no end mark":                  func(r *scriptedAttempt) { r.chunks(1) },
-	"no end mark after the finish": func(r *scriptedAttempt) { r.chunks(len(fullAnswer)); r.finish("stop") },
-	"no end mark after the usage":  func(r *scriptedAttempt) { r.chunks(len(fullAnswer)); r.finish("stop"); r.usage() },
-	"an abort after the usage":     func(r *scriptedAttempt) { r.chunks(1); r.usage(); r.abort() },
+	"an empty body":                   func(r *scriptedAttempt) { r.WriteHeader(200) },
+	"an empty stream":                 func(r *scriptedAttempt) { r.chunks(0); r.WriteHeader(200) },
+	"no done marker":                  func(r *scriptedAttempt) { r.chunks(1) },
+	"no done marker after the finish": func(r *scriptedAttempt) { r.chunks(len(fullAnswer)); r.finish("stop") },
+	"no done marker after the usage":  func(r *scriptedAttempt) { r.chunks(len(fullAnswer)); r.finish("stop"); r.usage() },
+	"an abort after the usage":        func(r *scriptedAttempt) { r.chunks(1); r.usage(); r.abort() },
 	"an abort in an event": func(r *scriptedAttempt) {
 		r.chunks(1)
 		_, _ = io.WriteString(r, `data: {"choices":[{"delta":{"content":"oth`)
 		r.abort()
 	},
-	"an abort in the end mark": func(r *scriptedAttempt) {
+	"an abort in the done marker": func(r *scriptedAttempt) {
 		r.chunks(1)
 		r.finish("stop")
 		_, _ = io.WriteString(r, "data: [DON")
@@ -142,11 +142,11 @@
 		r.chunks(1)
 		_, _ = io.WriteString(r, `data: {"choices":[{"delta":{"content":"oth`)
 	},
-	"the end mark at once":   func(r *scriptedAttempt) { r.chunks(0); r.done() },
-	"the end mark alone":     func(r *scriptedAttempt) { r.chunks(1); r.done() },
-	"an empty finish reason": func(r *scriptedAttempt) { r.chunks(1); r.finish(""); r.done() },
-	"an aborted run":         func(r *scriptedAttempt) { r.chunks(1); r.finish("abort"); r.done() },
-	"an error at once":       func(r *scriptedAttempt) { r.chunks(0); r.sendEvent(errorObject); r.done() },
+	"the done marker at once": func(r *scriptedAttempt) { r.chunks(0); r.done() },
+	"the done marker alone":   func(r *scriptedAttempt) { r.chunks(1); r.done() },
+	"an empty finish reason":  func(r *scriptedAttempt) { r.chunks(1); r.finish(""); r.done() },
+	"an aborted run":          func(r *scriptedAttempt) { r.chunks(1); r.finish("abort"); r.done() },
+	"an error at once":        func(r *scriptedAttempt) { r.chunks(0); r.sendEvent(errorObject); r.done() },
 	"an error in the middle": func(r *scriptedAttempt) {
 		r.chunks(1)
 		r.sendEvent(errorObject)
@@ -276,7 +276,7 @@
 	status  int
 	text    string
 	content string
-	// finish is the finish reason; ended is set by the end mark, failed by an error.
+	// finish is the finish reason; ended is set by the done marker, failed by an error.
 	finish        string
 	ended, failed bool
 	usage         struct {
--- a/test/process/address_test.go
+++ b/test/process/address_test.go
@@ -14,7 +14,7 @@
 const portRangeFile = "/proc/sys/net/ipv4/ip_local_port_range"
 
 // TestFreeAddressAvoidsEphemeralPorts checks that freeAddress picks ports below the ephemeral range. A process listens some time
-// after its address was chosen; until then, the system may give an ephemeral port to a program that listens on all hosts.
+// after its address was chosen; until then, the system may give an ephemeral port to a program that listens on all addresses.
 func TestFreeAddressAvoidsEphemeralPorts(t *testing.T) {
 	content, err := os.ReadFile(portRangeFile)
 	if err != nil {
--- a/test/process/faults_test.go
+++ b/test/process/faults_test.go
@@ -175,8 +175,8 @@
 	task.Wait()
 }
 
-// recordMark sends a non-repeatable call, called a mark, and returns the outcome that is reported to the caller.
-func recordMark(cluster *testCluster, node int, body string) string {
+// sendNonRepeatable sends a non-repeatable call and returns the outcome that is reported to the caller.
+func sendNonRepeatable(cluster *testCluster, node int, body string) string {
 	request, err := http.NewRequest(http.MethodPost, cluster.nodes[node].apiURL()+"/apps/book/marks", strings.NewReader(body))
 	if err != nil {
 		return ""
@@ -197,15 +197,15 @@
 // the executions.
 func TestNonRepeatableCallsRunAtMostOnce(t *testing.T) {
 	cluster := startCluster(t, 3, 1)
-	const writers, marks = 6, 30
+	const writers, executions = 6, 30
 	reported := make(map[string]string)
 	var mutex sync.Mutex
 	var tasks sync.WaitGroup
 	for writer := range writers {
 		tasks.Go(func() {
-			for number := range marks {
-				body := fmt.Sprintf("mark %d-%d", writer, number)
-				outcome := recordMark(cluster, (writer+number)%3, body)
+			for number := range executions {
+				body := fmt.Sprintf("call %d-%d", writer, number)
+				outcome := sendNonRepeatable(cluster, (writer+number)%3, body)
 				mutex.Lock()
 				reported[body] = outcome
 				mutex.Unlock()
@@ -213,15 +213,15 @@
 			}
 		})
 	}
-	cluster.waitFor("marks to be recorded", func() bool { return len(cluster.marks()) > writers })
+	cluster.waitFor("non-repeatable calls to be executed", func() bool { return len(cluster.executions()) > writers })
 	cluster.nodes[1].kill()
 	cluster.nodes[2].signal(syscall.SIGSTOP)
 	sleep(context.Background(), 2*time.Second)
 	cluster.nodes[2].signal(syscall.SIGCONT)
 	cluster.restart(1)
 	tasks.Wait()
-	cluster.checkMarks(reported)
-	assert.Assert(t, len(cluster.marks()) > writers)
+	cluster.checkExecutions(reported)
+	assert.Assert(t, len(cluster.executions()) > writers)
 }
 
 // TestStoreOutageBlocksOnlyPublishing stops the configuration store. Calls must still be served and publishing must fail with a
@@ -267,7 +267,7 @@
 	assert.Equal(t, fetchRevision(t, cluster), before+1)
 }
 
-// fetchRevision returns the revision in force on all live nodes.
+// fetchRevision returns the configuration revision applied on all live nodes.
 func fetchRevision(t *testing.T, cluster *testCluster) uint64 {
 	t.Helper()
 	var revision uint64
--- a/test/process/harness_test.go
+++ b/test/process/harness_test.go
@@ -45,14 +45,15 @@
 	waitTimeout = 60 * time.Second
 )
 
-var binaries string
+// binaryFolder is the folder of the binaries under test.
+var binaryFolder string
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "mountstile-test")
 	if err != nil {
 		panic(err)
 	}
-	binaries = folder
+	binaryFolder = folder
 	build := exec.Command("go", "build", "-o", folder+"/", "github.com/mountstile/mountstile/cmd/...")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
@@ -63,15 +64,15 @@
 	os.Exit(code)
 }
 
-// hosts counts the loopback addresses that this run has handed out.
-var hosts atomic.Int64
+// hostCount counts the loopback addresses that this run has handed out.
+var hostCount atomic.Int64
 
 const (
-	// runNetworks is the number of loopback networks among which the process id selects that of a run. Concurrent runs with
-	// the same network differ in the remaining digits of the process id, which select the port.
+	// runNetworks is the number of /16 loopback networks. A run uses the network numbered by its process ID modulo runNetworks;
+	// concurrent runs with the same network start at different ports.
 	runNetworks = 100
 	// The ports from lowestPort on lie below Linux's ephemeral range (ip_local_port_range): an ephemeral port could be taken by a
-	// program that listens on all hosts before the process listens on it.
+	// program that listens on all addresses before the process listens on it.
 	lowestPort = 12000
 	portCount  = 20000
 	// portTries is how many ports are tried, since other programs may use some of them.
@@ -82,7 +83,7 @@
 // connection can take the port before the process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	number := hosts.Add(1)
+	number := hostCount.Add(1)
 	process := os.Getpid()
 	host := fmt.Sprintf("127.%d.%d.%d", 100+process%runNetworks, number/250, number%250+1)
 	var failure error
@@ -109,7 +110,7 @@
 
 func startDaemon(t *testing.T, name string, arguments ...string) *daemon {
 	t.Helper()
-	started := &daemon{command: exec.Command(filepath.Join(binaries, name), arguments...), output: &bytes.Buffer{}, exited: make(chan struct{})}
+	started := &daemon{command: exec.Command(filepath.Join(binaryFolder, name), arguments...), output: &bytes.Buffer{}, exited: make(chan struct{})}
 	started.command.Stdout, started.command.Stderr = started.output, started.output
 	assert.NilError(t, started.command.Start())
 	go func() {
@@ -292,7 +293,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// hasMember reports whether the first node lists a member of that name whose usability is as given.
+// hasMember reports whether the first node lists a member with the given name and usability.
 func (c *testCluster) hasMember(name string, usable bool) bool {
 	return c.nodeHasMember(0, name, usable)
 }
@@ -330,7 +331,7 @@
 }
 
 // waitRepaired waits until exactly the running nodes are usable members and report their status, and every partition has a
-// leader and could lose a node.
+// leader and tolerates the loss of a node.
 func (c *testCluster) waitRepaired() {
 	c.t.Helper()
 	var status admin.ClusterStatus
@@ -441,8 +442,8 @@
 	return all
 }
 
-// marks returns how often the application engine executed each body.
-func (c *testCluster) marks() map[string]int {
+// executions returns how often the application engine executed each body.
+func (c *testCluster) executions() map[string]int {
 	counts := make(map[string]int)
 	for _, entry := range getJSON[[]emulator.ApplicationEntry](c.t, c.engines["book"]+emulator.LedgerPath) {
 		counts[entry.Body]++
--- a/test/process/torture_test.go
+++ b/test/process/torture_test.go
@@ -46,8 +46,8 @@
 	failures      []error
 }
 
-// TestTorture injects random faults of nodes, links, engines and the store while callers run conversations and record marks.
-// Then it compares the results that callers got with the calls that reached the engines.
+// TestTorture injects random faults of nodes, links, engines and the store while callers run conversations and send non-repeatable
+// calls. Then it compares the results that callers got with the calls that reached the engines.
 func TestTorture(t *testing.T) {
 	cluster := &torture{testCluster: startCluster(t, tortureNodes, 3), random: rand.New(rand.NewPCG(*tortureSeed, 1)), injected: make(map[string]int), reported: make(map[string]string)}
 	client := runner.NewClient(apiKey)
@@ -65,9 +65,9 @@
 		assert.NilError(t, err)
 	}
 	cluster.checkConversations(cluster.conversations)
-	cluster.checkMarks(cluster.reported)
+	cluster.checkExecutions(cluster.reported)
 	cluster.checkPrograms()
-	t.Logf("seed %d: %d programs, %d marks, faults %v", *tortureSeed, len(cluster.conversations), len(cluster.reported), cluster.injected)
+	t.Logf("seed %d: %d programs, %d non-repeatable calls, faults %v", *tortureSeed, len(cluster.conversations), len(cluster.reported), cluster.injected)
 }
 
 // runCaller runs conversations one after the other until stopped is set.
@@ -85,8 +85,8 @@
 				r.mutex.Unlock()
 				return
 			}
-			body := fmt.Sprintf("%s mark %d", item.name, turn)
-			outcome := recordMark(r.testCluster, random.IntN(tortureNodes), body)
+			body := fmt.Sprintf("%s call %d", item.name, turn)
+			outcome := sendNonRepeatable(r.testCluster, random.IntN(tortureNodes), body)
 			r.mutex.Lock()
 			r.reported[body] = outcome
 			r.mutex.Unlock()
@@ -158,7 +158,7 @@
 	r.putJSON(address, emulator.Faults{})
 }
 
-// nodeHasMember reports whether the observer lists a member of that name whose usability is as given.
+// nodeHasMember reports whether the observer lists a member with the given name and usability.
 func (c *testCluster) nodeHasMember(observer int, name string, usable bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -195,10 +195,10 @@
 	}
 }
 
-// checkMarks compares the reported outcomes of marks with their executions.
-func (c *testCluster) checkMarks(reported map[string]string) {
+// checkExecutions compares the reported outcomes of non-repeatable calls with their executions.
+func (c *testCluster) checkExecutions(reported map[string]string) {
 	c.t.Helper()
-	executed := c.marks()
+	executed := c.executions()
 	for body, outcome := range reported {
 		count := executed[body]
 		switch {
