--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -18,11 +18,13 @@
 	acquireKind = "limit_acquire"
 	releaseKind = "limit_release"
 
-	acquireTimeout        = 2 * time.Second
+	acquireTimeout = 2 * time.Second
+	// concurrencyRetryAfter is the delay suggested to a tenant at its limit of concurrent calls: the time at which one of
+	// them ends is unknown.
 	concurrencyRetryAfter = 500 * time.Millisecond
 )
 
-// Request is a request for a tenant's permit to run a call on a service, or to release it.
+// Request asks for a permit to run a tenant's call on a service, or releases that permit.
 type Request struct {
 	Tenant  string `json:"tenant"`
 	Service string `json:"service"`
@@ -34,13 +36,13 @@
 // Response is the response to a Request for a permit.
 type Response struct {
 	Granted bool `json:"granted"`
-	// RetryAfter is in milliseconds.
+	// RetryAfter is the delay before the next request, in milliseconds; 0 if the permit is granted.
 	RetryAfter int64 `json:"retry_after_ms,omitempty"`
 }
 
 type limitKey struct{ tenant, service string }
 
-// counter holds the permits of one limit. Limiter's mutex guards it.
+// counter counts one tenant's calls on one service. Limiter's mutex guards it.
 type counter struct {
 	bucket *rate.Limiter
 	// permits maps the ID of each call that has a permit to the permit's expiry.
@@ -70,7 +72,7 @@
 }
 
 // Acquire acquires a permit if the tenant has a limit on the service. The error is an *apierr.Error with
-// LimitExceeded. If the owner is unreachable, the call is allowed: the next owner starts counting within
+// LimitExceeded. If the owner does not respond, the call is allowed: another node becomes the owner within
 // seconds, and engines still limit their own concurrency.
 func (l *Limiter) Acquire(ctx context.Context, request Request) error {
 	if _, limited := l.config.Current().Set.LimitFor(request.Tenant, request.Service); !limited {
@@ -81,7 +83,7 @@
 		return nil
 	}
 	wait := time.Duration(response.RetryAfter) * time.Millisecond
-	return apierr.New(apierr.LimitExceeded, apierr.NotRun, "tenant %s has reached its limit on service %s", request.Tenant, request.Service).WithRetryAfter(wait)
+	return apierr.New(apierr.LimitExceeded, apierr.NotRun, "tenant %q has reached its limit on service %q", request.Tenant, request.Service).WithRetryAfter(wait)
 }
 
 func (l *Limiter) acquireFromOwner(ctx context.Context, request Request) (Response, error) {
@@ -113,7 +115,8 @@
 	l.network.Send(owner.Address, releaseKind, request)
 }
 
-// acquireLocal acquires a permit of a limit that this node owns. It is idempotent for each call.
+// acquireLocal acquires a permit from this node's counter. A repeated request for the same call is granted again and
+// not counted twice.
 func (l *Limiter) acquireLocal(request Request, now time.Time) Response {
 	configured, limited := l.config.Current().Set.LimitFor(request.Tenant, request.Service)
 	if !limited {
@@ -137,8 +140,8 @@
 }
 
 func (c *counter) expire(now time.Time) {
-	for callID, until := range c.permits {
-		if now.After(until) {
+	for callID, expiry := range c.permits {
+		if now.After(expiry) {
 			delete(c.permits, callID)
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -33,7 +33,7 @@
 	// several times a second.
 	reportExpiry = 1500 * time.Millisecond
 	// reportFreshAge is the age up to which a report counts in full; beyond it, the weight falls with the square of the
-	// age. It is about the duration of a call, so later on many of the reported calls have ended.
+	// age. After about the duration of a call many of the reported calls have ended.
 	reportFreshAge = 500 * time.Millisecond
 	// maxEntries bounds the engines in a report; the busiest ones are kept.
 	maxEntries = 64
@@ -46,7 +46,7 @@
 // within the same bandwidth.
 type Key string
 
-// KeyOf returns the key of the engine with an ID.
+// KeyOf returns the key of the engine with this ID.
 func KeyOf(engine string) Key {
 	hash := binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(engine))
 	return Key(base64.RawURLEncoding.EncodeToString(hash[:keyBytes]))
@@ -65,7 +65,7 @@
 // engine's key followed by its number of calls, separated by commas.
 type Counts []Count
 
-// ErrCounts means that a text is not an encoding of Counts.
+// ErrCounts means that Text is not a valid part of encoded Counts.
 type ErrCounts struct{ Text string }
 
 // Error implements error.
@@ -134,15 +134,15 @@
 	defer a.mutex.Unlock()
 	a.reports[gateway] = report{counts: reported, receivedAt: now}
 	sums := make(map[Key]int)
-	for name, known := range a.reports {
-		if now.Sub(known.receivedAt) > reportExpiry {
+	for name, stored := range a.reports {
+		if now.Sub(stored.receivedAt) > reportExpiry {
 			delete(a.reports, name)
 			continue
 		}
 		if name == gateway {
 			continue
 		}
-		for _, count := range known.counts {
+		for _, count := range stored.counts {
 			sums[count.Engine] += count.Calls
 		}
 	}
@@ -153,7 +153,7 @@
 	return others.Busiest()
 }
 
-// View holds the calls in flight of the other gateways. All methods may be called concurrently.
+// View holds the other gateways' calls in flight at each engine. All methods may be called concurrently.
 type View struct {
 	mutex sync.Mutex
 	calls map[Key]int
@@ -164,7 +164,7 @@
 // NewView returns a View without a report.
 func NewView() *View { return &View{calls: make(map[Key]int)} }
 
-// Take replaces the counts by those in a replica's response.
+// Take replaces the counts by the counts in a replica's response.
 func (v *View) Take(now time.Time, others Counts) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -19,9 +19,9 @@
 	var decoded Counts
 	assert.NilError(t, json.Unmarshal(encoded, &decoded))
 	assert.DeepEqual(t, decoded, counts)
-	for _, damaged := range []string{"e-1", "e--1", "e--1x", "e--1-1", "e--11,"} {
+	for _, invalid := range []string{"e-1", "e--1", "e--1x", "e--1-1", "e--11,"} {
 		var failed *ErrCounts
-		assert.Assert(t, findErrCounts(decoded.UnmarshalText([]byte(damaged)), &failed), damaged)
+		assert.Assert(t, findErrCounts(decoded.UnmarshalText([]byte(invalid)), &failed), invalid)
 	}
 }
 
@@ -78,7 +78,7 @@
 	assert.Equal(t, busiest[0], Count{KeyOf("e199"), 199})
 }
 
-// Reports and responses of any size must stay within the bandwidth.
+// Reports and responses of any size must not exceed bytesPerSecond.
 func TestPacerLimitsBandwidth(t *testing.T) {
 	for _, size := range []int{10, 400, 5000} {
 		var pacer Pacer
@@ -89,7 +89,7 @@
 				bytes += size
 			}
 		}
-		assert.Assert(t, bytes <= 20*bytesPerSecond+size, "%d bytes of size %d", bytes, size)
+		assert.Assert(t, bytes <= 20*bytesPerSecond+size, "%d bytes were allowed in 20 s in messages of %d bytes", bytes, size)
 	}
 }
 
--- a/internal/load/pacer.go
+++ b/internal/load/pacer.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// minReportInterval is the least time between two reports. More frequent ones would hardly differ: an engine gets only a
-	// few calls within it.
+	// minReportInterval is the least time between two reports. More frequent reports would hardly differ, since an
+	// engine gets only a few calls in this time.
 	minReportInterval = 60 * time.Millisecond
-	// bytesPerSecond is the bandwidth for reports and responses: two thirds of the 6 KB/s for a node's control traffic.
+	// bytesPerSecond is the bandwidth for reports and responses: two thirds of the 6 KB/s that a node may use for
+	// control traffic.
 	bytesPerSecond = 4000
 )
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// defaultAttempts is the number of engines that may run a request if the route does not set it.
+// defaultAttempts is the maximum number of engines that run a request if the route does not set it.
 const defaultAttempts = 1
 
 // Route is a route of a Table: the requests that it matches and how they are handled.
@@ -62,7 +62,7 @@
 	return milliseconds(r.specification.RetentionSeconds * 1000)
 }
 
-// Pick returns a service, chosen by weight with a uniform random number in [0, 1).
+// Pick chooses a service by weight. uniform is a random number from the uniform distribution over [0, 1).
 func (r *Route) Pick(uniform float64) string {
 	remaining := uniform * r.totalWeight
 	targets := r.specification.Targets
@@ -127,7 +127,7 @@
 // Limits returns the limits on the size of requests.
 func (t *Table) Limits() LimitSpecification { return t.limits }
 
-// Service returns the service with a name.
+// Service returns the service with this name.
 func (t *Table) Service(name string) (ServiceSpecification, bool) {
 	service, found := t.services[name]
 	return service, found
--- a/internal/routing/specification.go
+++ b/internal/routing/specification.go
@@ -13,7 +13,7 @@
 const (
 	// Safe requests may run more than once.
 	Safe Kind = "safe"
-	// Unsafe requests run at most once for each request of a caller.
+	// Unsafe requests may have side effects, so each runs at most once, however many engines are tried.
 	Unsafe Kind = "unsafe"
 	// Stream requests have an event stream as response; they run at most once unless the route is resumable.
 	Stream Kind = "stream"
@@ -38,7 +38,7 @@
 	Targets         []TargetSpecification `json:"targets"`
 	Resumable       bool                  `json:"resumable,omitempty"`
 	Sticky          bool                  `json:"sticky,omitempty"`
-	// StoreTurns enables storing turns, for RetentionSeconds after the end of each.
+	// StoreTurns enables storing turns; each is kept for RetentionSeconds after the end of its response.
 	StoreTurns       bool    `json:"kept,omitempty"`
 	RetentionSeconds float64 `json:"retention_seconds,omitempty"`
 }
@@ -47,7 +47,7 @@
 type ServiceSpecification struct {
 	Name           string `json:"name"`
 	MaxConnections int    `json:"max_connections"`
-	// TokensPerEvent is the number of tokens that an event of the service's streams counts as; 0 for
+	// TokensPerEvent is the number of tokens charged for each event of the service's streams; 0 for
 	// services that generate no tokens.
 	TokensPerEvent int `json:"tokens_per_event,omitempty"`
 }
@@ -66,20 +66,20 @@
 	Limits   LimitSpecification     `json:"limits"`
 }
 
-// ErrInvalid means that a configuration is rejected; the last valid one stays in use.
+// ErrInvalid means that a configuration is invalid; the last valid configuration stays in use.
 type ErrInvalid struct {
 	Field  string
 	Reason string
 }
 
 // Error implements error.
-func (e *ErrInvalid) Error() string { return "configuration: " + e.Field + ": " + e.Reason }
+func (e *ErrInvalid) Error() string { return "invalid configuration: " + e.Field + ": " + e.Reason }
 
 func (s *Specification) validate() error {
 	services := make(map[string]bool, len(s.Services))
 	for _, service := range s.Services {
 		if service.Name == "" {
-			return errors.WithStack(&ErrInvalid{Field: "services", Reason: "a service without a name"})
+			return errors.WithStack(&ErrInvalid{Field: "services", Reason: "a service has no name"})
 		}
 		services[service.Name] = true
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -19,8 +19,8 @@
 	reader *bufio.Reader
 	// writes counts the writes of the current request; 0 proves that nothing of it reached the engine.
 	writes atomic.Int64
-	// idleDeadline is when an idle connection is no longer used; zero if the engine sent no timeout and
-	// defaultIdleTimeout applies.
+	// idleDeadline is the time after which the idle connection must not be used again. It is zero if the engine sent no
+	// keep-alive timeout, in which case defaultIdleTimeout applies.
 	idleDeadline time.Time
 	lastUsedAt   time.Time
 }
@@ -51,9 +51,11 @@
 	pool       *Pool
 	connection *Connection
 	response   *http.Response
-	written    chan error
-	stopWatch  func() bool
-	finished   bool
+	// written receives the result of writing the request.
+	written chan error
+	// cancelCloseOnDone undoes closeOnDone; it returns false if the connection has been closed.
+	cancelCloseOnDone func() bool
+	finished          bool
 }
 
 // Response returns the response; its body is read from the connection.
@@ -66,7 +68,7 @@
 		return
 	}
 	e.finished = true
-	if !e.stopWatch() || !e.reusable() {
+	if !e.cancelCloseOnDone() || !e.reusable() {
 		e.connection.close()
 		e.pool.connectionClosed(e.connection)
 		return
@@ -75,8 +77,8 @@
 	e.pool.put(e.connection)
 }
 
-// reusable reports whether the connection can carry another request. An engine may respond before it has read the
-// request, so it waits briefly for the rest to be written.
+// reusable reports whether the connection can carry another request. Since an engine may respond before it has read
+// the whole request, reusable waits up to writeDrainTimeout for the rest to be written.
 func (e *Exchange) reusable() bool {
 	if e.response.Close || e.connection.reader.Buffered() > 0 {
 		return false
@@ -96,12 +98,13 @@
 		return
 	}
 	e.finished = true
-	e.stopWatch()
+	e.cancelCloseOnDone()
 	e.connection.close()
 	e.pool.connectionClosed(e.connection)
 }
 
-// closeOnDone closes the connection when the context is done, which unblocks reads and writes.
+// closeOnDone closes the connection when the context is done, which unblocks reads and writes. The returned function
+// undoes this, and returns false if the connection has been closed.
 func closeOnDone(ctx context.Context, connection *Connection) func() bool {
 	return context.AfterFunc(ctx, connection.close)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -65,32 +65,33 @@
 	mutex sync.Mutex
 	limit int
 	idle  []*Connection
-	// openCount is the number of open connections, openedTotal that of all connections opened so far.
+	// openCount is the number of connections that are open or being dialed; openedTotal counts all dials so far.
 	openCount   int
 	openedTotal int64
 	closed      bool
 }
 
-// NewPool returns a Pool of at most limit connections, and at least one.
+// NewPool returns a Pool of at most limit connections. A limit below 1 counts as 1.
 func NewPool(address string, limit int, dial func(ctx context.Context, address string) (net.Conn, error)) *Pool {
 	return &Pool{address: address, limit: max(limit, 1), dial: dial}
 }
 
-// Opened returns the number of connections opened since the pool was created.
+// Opened returns the number of connections dialed since the pool was created, including failed dials.
 func (p *Pool) Opened() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.openedTotal
 }
 
-// HasIdle reports whether the connection that the next request would use is open, idle and not expired.
+// HasIdle reports whether the most recently used idle connection has not expired. The engine may have closed it, which
+// only Send checks.
 func (p *Pool) HasIdle() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle) > 0 && !p.idle[len(p.idle)-1].expired(time.Now())
 }
 
-// SetLimit changes the limit. Surplus connections are closed when their exchange ends.
+// SetLimit changes the connection limit. Surplus connections are closed when their exchange ends.
 func (p *Pool) SetLimit(limit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -26,7 +26,7 @@
 	"Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// EndToEndHeaders returns a copy of header without hop-by-hop headers, those named in Connection, and
+// EndToEndHeaders returns a copy of header without the hop-by-hop headers, the headers named in Connection, and
 // Content-Length.
 func EndToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
@@ -63,7 +63,7 @@
 		return nil, errors.WithStack(&ErrExchange{cause: err})
 	}
 	exchange := &Exchange{pool: p, connection: connection, written: make(chan error, 1)}
-	exchange.stopWatch = closeOnDone(ctx, connection)
+	exchange.cancelCloseOnDone = closeOnDone(ctx, connection)
 	connection.writes.Store(0)
 	encoded := request.encode()
 	go func() {
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -11,8 +11,8 @@
 const tcpUserTimeoutOption = 18
 
 // Dialer returns a dial function for connections that fail if sent data stays unacknowledged for the given time.
-// A network partition or a power failure of the peer sends no reset, and the kernel's retransmissions would
-// detect it only after a long time.
+// After a network partition or a power failure of the peer no reset arrives, and the kernel would retransmit for
+// minutes before it reports an error.
 func Dialer(timeout, unacknowledged time.Duration) func(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{
 		Timeout: timeout,
@@ -20,14 +20,14 @@
 			Enable: true, Idle: time.Second, Interval: time.Second, Count: 2,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
-			err := raw.Control(func(descriptor uintptr) {
-				failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(unacknowledged.Milliseconds()))
+			var optionErr error
+			err := raw.Control(func(fd uintptr) {
+				optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(unacknowledged.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return optionErr
 		},
 	}
 	return func(ctx context.Context, address string) (net.Conn, error) {
@@ -41,12 +41,12 @@
 	if !ok {
 		return true
 	}
-	descriptor, err := connection.SyscallConn()
+	rawConnection, err := connection.SyscallConn()
 	if err != nil {
 		return false
 	}
 	open := false
-	err = descriptor.Read(func(fd uintptr) bool {
+	err = rawConnection.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		open = peekErr == syscall.EAGAIN
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -77,8 +77,8 @@
 	return &Request{Method: http.MethodPost, Target: "/a/b?c=%20d", Host: "h.example", Header: http.Header{"X-One": {"1"}}, Body: []byte(body)}
 }
 
-// exchangeWhole sends a request and returns the whole response body.
-func exchangeWhole(t *testing.T, pool *Pool, request *Request) (string, error) {
+// sendAndReadBody sends a request and returns the whole response body.
+func sendAndReadBody(t *testing.T, pool *Pool, request *Request) (string, error) {
 	t.Helper()
 	exchange, err := pool.Send(context.Background(), request)
 	if err != nil {
@@ -98,7 +98,7 @@
 	pool := server.pool(4)
 	for step := range 5 {
 		text := strings.Repeat("x", step)
-		body, err := exchangeWhole(t, pool, post(text))
+		body, err := sendAndReadBody(t, pool, post(text))
 		assert.NilError(t, err)
 		assert.Equal(t, body, text)
 	}
@@ -116,7 +116,7 @@
 			reply(connection, "HTTP/1.1 204 No Content\r\n\r\n")
 		}
 	})
-	_, err := exchangeWhole(t, server.pool(1), post("some\r\n\r\nGET / HTTP/1.1\r\n"))
+	_, err := sendAndReadBody(t, server.pool(1), post("some\r\n\r\nGET / HTTP/1.1\r\n"))
 	assert.NilError(t, err)
 	request := <-arrived
 	assert.Equal(t, request.RequestURI, "/a/b?c=%20d")
@@ -127,7 +127,7 @@
 	assert.Equal(t, <-bodies, "some\r\n\r\nGET / HTTP/1.1\r\n")
 }
 
-// A request is not retried when a reused connection fails.
+// A request on a reused connection that fails is not retried: the engine may have run it.
 func TestNoRetryOnReusedConnection(t *testing.T) {
 	var requests atomic.Int64
 	server := startEngine(t, func(connection net.Conn, reader *bufio.Reader, _ int64) {
@@ -142,9 +142,9 @@
 		}
 	})
 	pool := server.pool(2)
-	_, err := exchangeWhole(t, pool, post(""))
+	_, err := sendAndReadBody(t, pool, post(""))
 	assert.NilError(t, err)
-	_, err = exchangeWhole(t, pool, &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
+	_, err = sendAndReadBody(t, pool, &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
 	var failed *ErrExchange
 	assert.Assert(t, errors.As(err, &failed))
 	assert.Assert(t, failed.Sent)
@@ -156,7 +156,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
 	pool := NewPool(listener.Addr().String(), 1, Dialer(time.Second, time.Second))
-	_, err = exchangeWhole(t, pool, post("x"))
+	_, err = sendAndReadBody(t, pool, post("x"))
 	var failed *ErrExchange
 	assert.Assert(t, errors.As(err, &failed))
 	assert.Assert(t, !failed.Sent)
@@ -173,10 +173,10 @@
 		_, _ = reader.ReadByte()
 	})
 	pool := server.pool(4)
-	first, err := exchangeWhole(t, pool, post(""))
+	first, err := sendAndReadBody(t, pool, post(""))
 	assert.NilError(t, err)
 	assert.Equal(t, first, "1")
-	second, err := exchangeWhole(t, pool, post(""))
+	second, err := sendAndReadBody(t, pool, post(""))
 	assert.NilError(t, err)
 	assert.Equal(t, second, "2")
 }
@@ -197,7 +197,7 @@
 		_, _ = reader.ReadByte()
 	})
 	pool := server.pool(4)
-	_, err := exchangeWhole(t, pool, post(""))
+	_, err := sendAndReadBody(t, pool, post(""))
 	assert.NilError(t, err)
 	close(surplus)
 	<-sent
@@ -209,7 +209,7 @@
 		}
 		return poll.Continue("the surplus data has not arrived")
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
-	second, err := exchangeWhole(t, pool, post(""))
+	second, err := sendAndReadBody(t, pool, post(""))
 	assert.NilError(t, err)
 	assert.Equal(t, second, "2")
 }
@@ -229,10 +229,10 @@
 		echo(connection, reader, number)
 	})
 	pool := server.pool(4)
-	first, err := exchangeWhole(t, pool, post(strings.Repeat("x", 8<<20)))
+	first, err := sendAndReadBody(t, pool, post(strings.Repeat("x", 8<<20)))
 	assert.NilError(t, err)
 	assert.Equal(t, first, "early")
-	second, err := exchangeWhole(t, pool, post("next"))
+	second, err := sendAndReadBody(t, pool, post("next"))
 	assert.NilError(t, err)
 	assert.Equal(t, second, "next")
 	assert.Equal(t, pool.Opened(), int64(2))
@@ -252,7 +252,7 @@
 			}
 		})
 		pool := server.pool(1)
-		_, err := exchangeWhole(t, pool, post("x"))
+		_, err := sendAndReadBody(t, pool, post("x"))
 		assert.Assert(t, err != nil, name)
 		assert.Equal(t, pool.openCount, 0, name)
 	}
@@ -269,10 +269,10 @@
 		}
 	})
 	pool := server.pool(1)
-	body, err := exchangeWhole(t, pool, post(""))
+	body, err := sendAndReadBody(t, pool, post(""))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "all of it")
-	_, err = exchangeWhole(t, pool, post(""))
+	_, err = sendAndReadBody(t, pool, post(""))
 	assert.Assert(t, err != nil, "a response that ended with a reset is not complete")
 }
 
@@ -282,7 +282,7 @@
 			reply(connection, "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	body, err := exchangeWhole(t, server.pool(1), post(""))
+	body, err := sendAndReadBody(t, server.pool(1), post(""))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
 }
@@ -299,11 +299,11 @@
 		})
 		pool := server.pool(2)
 		for range 2 {
-			_, err := exchangeWhole(t, pool, post(""))
+			_, err := sendAndReadBody(t, pool, post(""))
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, pool.Opened(), opened, header)
-		assert.Equal(t, pool.HasIdle(), opened == 1, "an expired connection counts as idle: %s", header)
+		assert.Equal(t, pool.HasIdle(), opened == 1, "HasIdle with the header Keep-Alive: %s", header)
 	}
 }
 
@@ -330,7 +330,7 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the connection is still open")
+		t.Fatal("the connection is still open 5 s after its request was canceled")
 	}
 }
 
@@ -345,7 +345,7 @@
 	pool := server.pool(1)
 	done := make(chan error, 1)
 	go func() {
-		_, err := exchangeWhole(t, pool, post(""))
+		_, err := sendAndReadBody(t, pool, post(""))
 		done <- err
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
