--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// maxSends bounds the attempts of a call, refused ones included; for a stream, the consecutive attempts
+	// maxAttempts bounds the attempts of a call, refused ones included; for a stream, the consecutive attempts
 	// without an event.
-	maxSends = 6
+	maxAttempts = 6
 	// engineWaitTimeout is how long a call waits for a usable engine.
 	engineWaitTimeout = 60 * time.Millisecond
 	// engineWaitInterval is the polling interval of that wait.
@@ -82,9 +82,9 @@
 	Priority  int
 	// Trace is filled in by Dispatcher.Run, for the call's log line.
 	Trace Trace
-	// Stream is set for streams that another run may continue.
+	// Stream is set for streams that another attempt may continue.
 	Stream Resumable
-	// FromStart makes the first run begin at the stream's start, whatever position the caller requested.
+	// FromStart makes the first attempt begin at the stream's start, whatever position the caller requested.
 	FromStart bool
 }
 
@@ -97,8 +97,8 @@
 	// EngineWait is the time spent waiting for a usable engine.
 	EngineWait time.Duration
 	// Candidates is the number of engines that the last placement could choose from. InFlight, Load and LatencyRatio
-	// belong to the chosen one: this gateway's calls in flight, the estimate for all gateways, and its latency relative to
-	// the service's average. LoadAge is the age of the other gateways' load report.
+	// describe the chosen engine: this gateway's calls in flight, the estimated calls in flight of all gateways, and its
+	// latency relative to the service's average. LoadAge is the age of the other gateways' load report.
 	Candidates   int
 	InFlight     int
 	Load         float64
@@ -127,15 +127,15 @@
 
 // ErrResponse means that the response was truncated or damaged. Consumers return it.
 type ErrResponse struct {
-	// Delivered is set if the caller already received a part of the response, so that no other one may follow. A part of a
-	// stream that another run may continue does not count.
+	// Delivered is set if the caller already received a part of the response, so that no other response may follow. It
+	// is not set for a stream that another attempt may continue.
 	Delivered bool
 	// engineHealthy is set if the failure must not count against the engine.
 	engineHealthy bool
 	cause         error
 }
 
-// ResponseError returns an ErrResponse.
+// ResponseError returns an ErrResponse for a failure that counts against the engine.
 func ResponseError(delivered bool, cause error) error {
 	return errors.WithStack(&ErrResponse{Delivered: delivered, cause: cause})
 }
@@ -152,7 +152,7 @@
 // CallerGone returns an ErrCallerGone.
 func CallerGone(cause error) error { return errors.WithStack(&ErrCallerGone{cause: cause}) }
 
-// ErrWithdrawn means that the gateway itself canceled the call.
+// ErrWithdrawn means that the gateway itself canceled the call, as when the reservation of its tokens failed.
 type ErrWithdrawn struct{ cause error }
 
 // Withdrawn returns an ErrWithdrawn.
@@ -190,7 +190,7 @@
 }
 
 // Run runs a call on an engine and passes the response to consume, once for each attempt that gets one. The error is an
-// apierr.Error that tells whether the call ran, or a consumer's error if nothing may follow.
+// apierr.Error that tells whether the call ran, or the error of consume if no other attempt may follow.
 func (d *Dispatcher) Run(ctx context.Context, call *Call, consume func(*Attempt) error) error {
 	d.retries.earn()
 	progress := &progress{call: call}
@@ -201,10 +201,10 @@
 			return err
 		}
 		call.Trace.Sends++
-		run := newResumption(call, engine, progress.ran)
-		outcome, err := d.attemptWithTimeout(ctx, call, engine, progress, run, consume)
+		resumption := newResumption(call, engine, progress.ran)
+		outcome, err := d.attemptWithTimeout(ctx, call, engine, progress, resumption, consume)
 		d.registry.release(engine)
-		run.report(call, outcome, err)
+		resumption.report(call, outcome, err)
 		if outcome == succeeded {
 			return nil
 		}
@@ -216,7 +216,7 @@
 	}
 }
 
-// nextEngine returns the previous engine if a stream is resumed there, and chooses one otherwise.
+// nextEngine returns the previous engine if a stream is resumed there, and otherwise chooses an engine.
 func (d *Dispatcher) nextEngine(ctx context.Context, call *Call, progress *progress) (*Engine, error) {
 	resumeOn := progress.resumeOn
 	if resumeOn == nil {
@@ -224,7 +224,7 @@
 	}
 	progress.resumeOn = nil
 	clock.Sleep(ctx, progress.resumeDelay())
-	switch d.registry.use(resumeOn) {
+	switch d.registry.acquire(resumeOn) {
 	case present:
 		return resumeOn, nil
 	case draining:
@@ -255,22 +255,22 @@
 
 // attemptWithTimeout limits the time of an attempt while another engine may still run the call.
 // Otherwise a response that an engine has lost would use up the call's whole deadline.
-func (d *Dispatcher) attemptWithTimeout(ctx context.Context, call *Call, engine *Engine, progress *progress, run *Resumption, consume func(*Attempt) error) (attemptOutcome, error) {
+func (d *Dispatcher) attemptWithTimeout(ctx context.Context, call *Call, engine *Engine, progress *progress, resumption *Resumption, consume func(*Attempt) error) (attemptOutcome, error) {
 	timeout, limited := progress.attemptTimeout(ctx, time.Now())
 	if !limited {
-		return d.attempt(ctx, call, engine, run, consume)
+		return d.attempt(ctx, call, engine, resumption, consume)
 	}
 	attemptContext, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	outcome, err := d.attempt(attemptContext, call, engine, run, consume)
+	outcome, err := d.attempt(attemptContext, call, engine, resumption, consume)
 	if attemptContext.Err() != nil && ctx.Err() == nil {
 		d.registry.failed(engine, false, errAttemptTimeout)
 	}
 	return outcome, err
 }
 
-// attempt sends a call once and sets the run's status.
-func (d *Dispatcher) attempt(ctx context.Context, call *Call, engine *Engine, run *Resumption, consume func(*Attempt) error) (attemptOutcome, error) {
+// attempt sends a call once and sets resumption.Status.
+func (d *Dispatcher) attempt(ctx context.Context, call *Call, engine *Engine, resumption *Resumption, consume func(*Attempt) error) (attemptOutcome, error) {
 	request := call.Request
 	request.Header = call.Request.Header.Clone()
 	sentAt := time.Now()
@@ -278,14 +278,14 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = deadline.Sub(sentAt)
 	}
-	info := AttemptInfo{Engine: engine.ID(), Timeout: timeout, Priority: call.Priority, LastEvent: run.LastEvent, FromStart: call.FromStart}
+	info := AttemptInfo{Engine: engine.ID(), Timeout: timeout, Priority: call.Priority, LastEvent: resumption.LastEvent, FromStart: call.FromStart}
 	d.protocol.Prepare(request.Header, info)
 	exchange, err := engine.pool.Send(ctx, &request)
 	if err != nil {
 		return d.sendFailed(ctx, engine, err)
 	}
 	defer exchange.Abort()
-	run.Status = exchange.Response().StatusCode
+	resumption.Status = exchange.Response().StatusCode
 	switch d.protocol.Classify(exchange.Response(), call.ID) {
 	case Refused:
 		d.registry.markFull(engine)
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -22,7 +22,7 @@
 type Engine struct {
 	specification EngineSpecification
 	loadKey       load.Key
-	// revision is that of the last applied record; records may arrive out of order.
+	// revision is the revision of the last applied record; records may arrive out of order.
 	revision int64
 	pool     *upstream.Pool
 	inFlight int
@@ -54,7 +54,8 @@
 	return !o.until.IsZero() && removedAt.After(o.since) && removedAt.Before(o.until.Add(outageExpiryDelay))
 }
 
-// update applies a newer record. Draining is never taken back: a record without it is a delayed one.
+// update applies a newer record. A draining engine stays draining: a record without
+// the flag is a delayed one.
 // An engine whose record reappears after an outage is trusted at once.
 func (e *Engine) update(now time.Time, specification EngineSpecification, revision int64, last outage) {
 	specification.Draining = specification.Draining || e.specification.Draining
--- a/internal/dispatch/latency.go
+++ b/internal/dispatch/latency.go
@@ -33,12 +33,12 @@
 
 func (r *latencyRatio) add(now time.Time, sample float64) {
 	current := r.at(now)
-	r.average = current + ratioWeight*(min(sample, maxSample)-current)
+	r.average = current + ratioWeight*(min(sample, maxSampleRatio)-current)
 	r.updatedAt = now
 }
 
-// maxSample is the largest latency ratio that a single sample counts as.
-const maxSample = 6
+// maxSampleRatio caps the latency ratio of a single sample.
+const maxSampleRatio = 6
 
 // latencyBaseline is the average duration of one kind of step over all engines.
 type latencyBaseline struct {
@@ -62,6 +62,7 @@
 }
 
 const (
+	// baselineWeight is the weight of a new sample in the baseline's moving average.
 	baselineWeight = 0.03
 	// warmupSamples is how many samples are averaged with equal weight before any is compared with the baseline.
 	warmupSamples = 8
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -62,8 +62,8 @@
 type Prompt struct {
 	// SharedPrefix identifies the first part, which prompts of other programs also begin with.
 	SharedPrefix string
-	// SharedTokens is the length of that part. HistoryTokens is that of the program's earlier turns, cached only by the
-	// engine that ran them, and NewTokens that of the last part, which no engine has processed.
+	// SharedTokens is the number of tokens in the shared prefix. HistoryTokens counts the program's earlier turns, which
+	// only the engine that ran them has cached, and NewTokens the last part, which no engine has processed.
 	SharedTokens, HistoryTokens, NewTokens int64
 }
 
@@ -168,7 +168,8 @@
 	return engines
 }
 
-// callsAt returns the number of calls in flight at an engine: those of this gateway and the estimate for the others.
+// callsAt returns the number of calls in flight at an engine: the calls of this gateway and the estimated
+// calls of the others.
 func (r *Registry) callsAt(now time.Time, engine *Engine) float64 {
 	return float64(engine.inFlight) + r.others.Calls(now, engine.loadKey)
 }
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -26,9 +26,10 @@
 	gone
 	refused
 	misdirected
-	// unknown means that the call may have run, and that another response (or, for a stream, another run) may follow.
+	// unknown means that the call may have run, and that another attempt may follow.
 	unknown
-	// delivered means that the caller received a part of a response that then failed, and that nothing may follow.
+	// delivered means that the caller received a part of a response that then failed, and that no other response may
+	// follow.
 	delivered
 )
 
@@ -53,15 +54,16 @@
 const (
 	// maxResumes bounds consecutive attempts to resume a stream at the same engine without receiving an event.
 	maxResumes = 5
-	// resumeBackoff is the delay before the first of these attempts; it doubles for each further one. The sum stays below
-	// the time after which callers give up a silent stream.
+	// resumeBackoff is the delay before the first of these attempts; it doubles for each further attempt. The sum stays
+	// below the time after which callers give up a silent stream.
 	resumeBackoff = 15 * time.Millisecond
 )
 
 // progress tracks the attempts of one call.
 type progress struct {
-	call  *Call
-	sends int
+	call *Call
+	// attempts counts the attempts of the call; for a stream, those since the last event.
+	attempts int
 	// runs counts the engines that may have run the call and may still be running it.
 	runs int
 	// ran is set once any engine may have run the call.
@@ -78,7 +80,7 @@
 const minAttemptTimeout = 120 * time.Millisecond
 
 // attemptTimeout returns the timeout of the next attempt if another engine may run the call after it;
-// half of the remaining time is reserved for that engine.
+// half of the remaining time is reserved for that attempt.
 func (p *progress) attemptTimeout(ctx context.Context, now time.Time) (time.Duration, bool) {
 	route := p.call.Route
 	if route.Kind() != routing.Safe || p.runs+1 >= route.Attempts() {
@@ -93,12 +95,12 @@
 
 // mayRetry records a failed attempt and reports whether another one is allowed.
 func (p *progress) mayRetry(ctx context.Context, outcome attemptOutcome, engine *Engine, retries *retryBudget) bool {
-	p.sends++
+	p.attempts++
 	p.resetOnEvents()
 	if outcome == unknown || outcome == delivered {
 		p.ran = true
 	}
-	if expired(ctx) || outcome == delivered || p.sends >= maxSends {
+	if expired(ctx) || outcome == delivered || p.attempts >= maxAttempts {
 		return false
 	}
 	if p.call.Stream != nil && p.ran {
@@ -114,14 +116,14 @@
 	return retries.spend()
 }
 
-// resetOnEvents resets the counts of attempts if the last run delivered events, so that a stream still completes on an
+// resetOnEvents resets the counts of attempts if the last attempt delivered events, so that a stream still completes on an
 // engine that interrupts it after every event.
 func (p *progress) resetOnEvents() {
 	if p.call.Stream == nil || p.call.Stream.Events() == p.events {
 		return
 	}
 	p.events = p.call.Stream.Events()
-	p.sends = 0
+	p.attempts = 0
 	p.resumes = 0
 }
 
@@ -130,15 +132,15 @@
 	return resumeBackoff << max(p.resumes-1, 0)
 }
 
-// expired reports whether the deadline of a call has passed. It compares the clock as well, since the context's
+// expired reports whether a call was canceled or its deadline has passed. It compares the clock as well, since the context's
 // timer may fire late after the whole process was paused.
 func expired(ctx context.Context) bool {
 	deadline, limited := ctx.Deadline()
 	return ctx.Err() != nil || (limited && time.Now().After(deadline))
 }
 
-// mayResume reports whether an interrupted stream may be resumed. It stays at its engine, which has the prompt in
-// memory and doesn't count as a further one, unless that engine's run has certainly ended.
+// mayResume reports whether an interrupted stream may be resumed. It stays at its engine, which has the prompt
+// cached and doesn't count as another engine, unless that engine certainly does not run the call any more.
 func (p *progress) mayResume(outcome attemptOutcome, engine *Engine) bool {
 	if outcome == gone || outcome == misdirected {
 		p.call.Placement.Excluded[engine.ID()] = true
@@ -158,7 +160,7 @@
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			return apierr.New(apierr.DeadlineExceeded, apierr.OutcomeUnknown, "no complete response before the deadline: %s", cause)
 		}
-		return apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "%s", cause)
+		return apierr.New(apierr.ExecutionUnknown, apierr.OutcomeUnknown, "no complete response from an engine that may have run the call: %s", cause)
 	}
 	return p.notRunError(ctx, cause.Error())
 }
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// returnedTrustDelay is how long a record that reappeared after its removal is not trusted: a delayed record of an
-	// engine that has left expires for lack of heartbeats within this time.
+	// returnedTrustDelay is how long an engine whose record reappeared after its removal is used only as a fallback: if the
+	// record is a delayed one of an engine that has left, it expires within this time for lack of heartbeats.
 	returnedTrustDelay = 5 * time.Second
-	// outageGrace is how long after an outage of the store an engine may be used whose record expired in it. The
+	// outageGrace is how long after an outage of the store an engine whose record expired in it may be used. The
 	// platform restores the records of running engines within 2 s; the rest allows for their propagation.
 	outageGrace = 2200 * time.Millisecond
 	// outageExpiryDelay is how long after an outage the records that expired in it may be removed. A later removal means
@@ -25,8 +25,8 @@
 	outageExpiryDelay = 500 * time.Millisecond
 	// removedGrace is how long an engine without a record may be used as a fallback.
 	removedGrace = 1200 * time.Millisecond
-	// drainingGrace is how long a stream may be resumed at an engine that began to drain. The platform allows two
-	// seconds from then on, which include the time in transit.
+	// drainingGrace is how long a stream may be resumed at an engine that began to drain. The platform
+	// accepts requests that reach the engine within 2 s; the rest of this time is for transit.
 	drainingGrace = 1200 * time.Millisecond
 	// removedRetention is how long an engine without a record is kept.
 	removedRetention = 30 * time.Second
@@ -36,8 +36,8 @@
 	defaultConnections = 16
 )
 
-// Registry holds the engines of all services. It is fed by their records in the catalog and by the outcomes of
-// calls to them. All methods may be called concurrently.
+// Registry holds the engines of all services. It is updated from their records in the catalog and from the
+// outcomes of calls to them. All methods may be called concurrently.
 type Registry struct {
 	zone   string
 	dial   func(ctx context.Context, address string) (net.Conn, error)
@@ -48,7 +48,7 @@
 	byID      map[string]*Engine
 	limits    map[string]int
 	baselines map[string]*latencyBaseline
-	// outage is the store's most recent one.
+	// outage is the most recent outage of the store.
 	outage outage
 	// others holds the calls in flight of other gateways.
 	others *load.View
@@ -194,8 +194,8 @@
 // Take implements turnstore.LoadExchange. It replaces the calls in flight of other gateways.
 func (r *Registry) Take(now time.Time, others load.Counts) { r.others.Take(now, others) }
 
-// use counts another call in flight at the engine that ran a stream, if the engine is still present.
-func (r *Registry) use(engine *Engine) presence {
+// acquire counts another call in flight at the engine that ran a stream, if the engine is still present.
+func (r *Registry) acquire(engine *Engine) presence {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	found := engine.presence(time.Now(), r.outage)
@@ -205,7 +205,7 @@
 	return found
 }
 
-// release undoes choose or use at the end of an attempt.
+// release undoes choose or acquire at the end of an attempt.
 func (r *Registry) release(engine *Engine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -234,7 +234,7 @@
 	}
 }
 
-// failed records a failure of an engine. openAtOnce opens its breaker whatever its earlier outcomes.
+// failed records a failure of an engine. openAtOnce opens its breaker regardless of earlier outcomes.
 func (r *Registry) failed(engine *Engine, openAtOnce bool, cause error) {
 	r.mutex.Lock()
 	opened := engine.breaker.failed(time.Now(), openAtOnce)
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -1,36 +1,36 @@
 package dispatch
 
-// Resumable is a stream that a further run can continue after an interruption.
+// Resumable is a stream that another attempt can continue after an interruption.
 type Resumable interface {
 	// LastEvent returns the ID of the last event that the caller received; empty if there is none.
 	LastEvent() string
 	// Events returns how many complete events the caller received.
 	Events() int
-	// Resumed reports the result of a run that was started to continue the stream.
+	// Resumed receives the result of an attempt to continue the stream.
 	Resumed(resumption Resumption)
 }
 
-// Resumption is the result of a run that was started to continue a stream.
+// Resumption is the result of an attempt to continue a stream.
 type Resumption struct {
 	Engine string
 	// LastEvent is the event ID to continue after; empty for the start of the stream.
 	LastEvent string
 	// Status is the response's status code; 0 without a response.
 	Status int
-	// Events counts the complete events of this run.
+	// Events counts the complete events of this attempt.
 	Events int
 	// Outcome is the attempt's outcome, such as "succeeded" or "unknown".
 	Outcome string
-	// Cause is why the run did not complete the stream; nil if it did.
+	// Cause is why the attempt did not complete the stream; nil if it did.
 	Cause error
-	// eventsBefore is how many events the caller had received when the run began.
+	// eventsBefore is how many events the caller had received when the attempt began.
 	eventsBefore int
 	// notify is set if report must pass the result to the stream.
 	notify bool
 }
 
-// newResumption returns the Resumption of a run that begins. ranBefore is set unless it is the first run of the stream;
-// the result of the first run is not reported.
+// newResumption returns the Resumption of an attempt that begins. ranBefore is set if an earlier attempt may have run
+// the call; if not, the attempt starts the stream and its result is not reported.
 func newResumption(call *Call, engine *Engine, ranBefore bool) *Resumption {
 	resumption := &Resumption{Engine: engine.ID()}
 	if call.Stream != nil {
@@ -41,7 +41,7 @@
 	return resumption
 }
 
-// report passes the result of the run to the stream.
+// report passes the result of the attempt to the stream.
 func (r *Resumption) report(call *Call, outcome attemptOutcome, cause error) {
 	if !r.notify {
 		return
