--- a/internal/ingress/harness_test.go
+++ b/internal/ingress/harness_test.go
@@ -30,14 +30,14 @@
 	"github.com/mountstile/mountstile/internal/upstream"
 )
 
-// testProtocol uses headers of its own: Call is the request's ID, Seal marks an engine's response,
+// testProtocol defines its own headers: Call is the request's ID, Seal marks an engine's response,
 // and Untouched says that the engine did not run the call.
 type testProtocol struct{}
 
 func (testProtocol) Caller(header http.Header) (Caller, error) {
 	caller := Caller{ID: header.Get("Call"), Program: header.Get("Program"), Previous: header.Get("Previous"), LastEvent: header.Get("After"), Budget: NoBudget}
 	if caller.ID == "" {
-		return caller, apierr.New(apierr.InvalidRequest, apierr.NotRun, "no ID")
+		return caller, apierr.New(apierr.InvalidRequest, apierr.NotRun, "the Call header is missing")
 	}
 	if millis, err := strconv.Atoi(header.Get("Patience")); err == nil {
 		caller.TimeLimit = time.Duration(millis) * time.Millisecond
@@ -241,9 +241,9 @@
 	}
 }
 
-// engineThatDies starts an engine that serves one call: it sends one event, resets the connection
+// crashingEngine starts an engine that serves one call: it sends one event, resets the connection
 // and stops listening.
-func (c *testCluster) engineThatDies() {
+func (c *testCluster) crashingEngine() {
 	c.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(c.t, err)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -226,7 +226,7 @@
 func TestResumableStreamMovesToAnotherEngine(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
-	cluster.engineThatDies()
+	cluster.crashingEngine()
 	response, err := cluster.startRequest(context.Background(), "/resume/", "c1", "")
 	assert.NilError(t, err)
 	defer response.Body.Close()
@@ -246,7 +246,7 @@
 	t.Parallel()
 	cluster := newTestCluster(t)
 	cluster.withReplica()
-	cluster.engineThatDies()
+	cluster.crashingEngine()
 	program := []string{"Program", "p", "Budget", "100", "Most", "18"}
 	var first *http.Response
 	eventually(t, "the replica accepts the first turn", func() bool {
@@ -360,7 +360,7 @@
 	}
 	assert.NilError(t, turn("t1").err) // 18 tokens of 50
 	eventually(t, "the first turn is settled", func() bool {
-		got := turn("t2") // breaks off after 18 tokens
+		got := turn("t2") // interrupted after 18 tokens
 		return got.status == 200 && got.err != nil
 	})
 	eventually(t, "the budget is spent", func() bool { return turn("t3").status == http.StatusPaymentRequired })
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -72,7 +72,7 @@
 		events.F("version", r.version), events.F("catalog_age_millis", r.server.options.CatalogAge().Milliseconds()),
 	)
 	if r.reservation != nil {
-		fields = append(fields, events.F("open_millis", r.openDuration.Milliseconds()), events.F("ran_ahead", r.ahead))
+		fields = append(fields, events.F("open_millis", r.openDuration.Milliseconds()), events.F("ran_ahead", r.runAhead))
 	}
 	if r.call != nil {
 		fields = append(fields, r.placementFields()...)
@@ -145,8 +145,7 @@
 	}
 }
 
-// The values of the label "place": where a turn ran, compared with the previous turn of its
-// program.
+// The values of the label "place" tell whether a turn ran on the same engine as the previous turn of its program.
 const (
 	placementSame    = "same"
 	placementOther   = "other"
@@ -159,7 +158,7 @@
 		return
 	}
 	if r.openDuration > 0 {
-		m.reservationDuration.WithLabelValues(strconv.FormatBool(r.ahead)).Observe(r.openDuration.Seconds())
+		m.reservationDuration.WithLabelValues(strconv.FormatBool(r.runAhead)).Observe(r.openDuration.Seconds())
 	}
 	if r.engine == "" || r.call == nil {
 		return
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -42,9 +42,9 @@
 	return pending
 }
 
-// openTurn reserves the budget and looks up the previous turns. If this takes long, as after
-// replicas lost power, a repeatable turn runs in parallel with its reservation and its events are
-// buffered until that succeeds, so that the delays of engines and replicas overlap.
+// openTurn reserves the budget and looks up the previous turns. If this takes longer than runAheadDelay, as after
+// replicas lost power, a repeatable turn runs in parallel with its reservation. Its events are
+// buffered until the reservation succeeds, so that the delays of engines and replicas overlap.
 func (r *request) openTurn(ctx context.Context, cancelCause context.CancelCauseFunc) error {
 	if r.route.Kind() != routing.Stream || (r.caller.Budget == NoBudget && !r.route.StoreTurns()) {
 		return nil
@@ -56,13 +56,13 @@
 		opening.Previous = r.caller.Previous
 	}
 	r.reservation = r.reserve(ctx, opening, cancelCause)
-	ahead := time.NewTimer(runAheadDelay)
-	defer ahead.Stop()
+	runAhead := time.NewTimer(runAheadDelay)
+	defer runAhead.Stop()
 	if r.canRunAhead() {
 		select {
 		case <-r.reservation.done:
-		case <-ahead.C:
-			r.ahead = true
+		case <-runAhead.C:
+			r.runAhead = true
 			return nil
 		}
 	}
@@ -70,8 +70,8 @@
 }
 
 // canRunAhead reports whether the turn may be sent to an engine before its budget is reserved.
-// After a reservation has failed for lack of replicas, this one would probably fail too and the
-// turn run in vain.
+// After a reservation has failed for lack of replicas, this one would probably fail too, and the
+// engine's work would be wasted.
 func (r *request) canRunAhead() bool {
 	return r.route.Repeatable() && !r.route.StoreTurns() && r.server.options.Turns.ShardHealthy(r.caller.Program)
 }
@@ -87,16 +87,16 @@
 	return r.reservation.err
 }
 
-// reservationError returns the error for a turn whose reservation failed while it ran: the
-// reservation's error, which says that the turn did not run, only if no engine got it. Other errors
-// are returned unchanged.
+// reservationError converts the error of a dispatch if the turn's reservation failed meanwhile. A turn that an engine
+// ran gets an error that says so. Only a turn that no engine got gets the reservation's error, which says that it did
+// not run. Other errors are returned unchanged.
 func (r *request) reservationError(ctx context.Context, err error) error {
 	var withdrawn *dispatch.ErrWithdrawn
 	if errors.As(err, &withdrawn) {
 		return apierr.New(apierr.ExecutionUnknown, apierr.Ran, "%s", err)
 	}
 	cause := context.Cause(ctx)
-	if !r.ahead || err == nil || (!apierr.Is(cause, apierr.BudgetExceeded) && !apierr.Is(cause, apierr.TurnsUnavailable)) {
+	if !r.runAhead || err == nil || (!apierr.Is(cause, apierr.BudgetExceeded) && !apierr.Is(cause, apierr.TurnsUnavailable)) {
 		return err
 	}
 	if apierr.From(err, apierr.OutcomeUnknown).Outcome == apierr.NotRun {
@@ -108,7 +108,7 @@
 // settle releases the reserved tokens that the turn did not generate. A reservation that was never
 // awaited ends with the request's context and is released completely.
 func (r *request) settle(generated int64) {
-	if r.opened == nil && r.ahead {
+	if r.opened == nil && r.runAhead {
 		go func() {
 			<-r.reservation.done
 			if opened := r.reservation.opened; opened != nil && opened.Reserved {
--- a/internal/ingress/resume_test.go
+++ b/internal/ingress/resume_test.go
@@ -244,7 +244,7 @@
 }
 
 // An attempt that is abandoned as stalled may send its last events at that moment. The caller gets
-// either these or those of the next attempt, never both.
+// either these events or the events of the next attempt, never both.
 func TestEventsAtTheStallTimeout(t *testing.T) {
 	t.Parallel()
 	for step := range 24 {
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,5 +1,5 @@
-// Package ingress serves callers' requests on operators' routes: it finds the route, enforces the limits, opens the turn
-// if the request is one, dispatches the call to an engine, and relays the response as it arrives.
+// Package ingress serves callers' requests on operators' routes: it finds the route, enforces the limits, reserves
+// tokens and looks up previous turns where the route requires it, dispatches the call to an engine, and relays the response as it arrives.
 //
 // An incomplete response is never ended as if it were complete: the connection is reset. A request that was not run is
 // refused at once with a Retry-After header.
@@ -37,7 +37,7 @@
 // Caller holds the values of a caller's headers.
 type Caller struct {
 	ID string
-	// TimeLimit is how long the caller waits; 0 if it is not given.
+	// TimeLimit is how long the caller waits; 0 if the caller didn't say.
 	TimeLimit time.Duration
 	Program   string
 	Session   string
@@ -51,7 +51,7 @@
 	Most int64
 	// Previous is the ID of the turn that this one continues.
 	Previous string
-	// LastEvent is the ID of the last event of this stream that the caller has; empty at its start.
+	// LastEvent is the ID of the last event of this stream that the caller has; empty if it has none.
 	LastEvent string
 	// Prompt describes the parts of the prompt.
 	Prompt dispatch.Prompt
@@ -71,7 +71,7 @@
 	// Table returns the installed routes; nil before there are any.
 	Table func() *routing.Table
 	// RoutesReady reports whether requests may use the installed routes: there are some, and as far
-	// as the node can find out they are not older than those it had before a restart.
+	// as the node can find out they are not older than the routes that it had before a restart.
 	RoutesReady    func() bool
 	CallerProtocol CallerProtocol
 	Dispatcher     *dispatch.Dispatcher
@@ -94,7 +94,7 @@
 // New returns a Server.
 func New(options Options) *Server { return &Server{options: options, logLimit: newLogLimiter()} }
 
-// Drain makes every further response the last one of its connection.
+// Drain makes each further response close its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // Active returns the number of requests in progress.
@@ -114,10 +114,10 @@
 	// reservation may still be pending while the turn runs; nil for calls that need none.
 	reservation *reservation
 	opened      *turnstore.OpenedTurn
-	// ahead is set if the turn runs in parallel with its reservation.
-	ahead bool
+	// runAhead is set if the turn was sent to an engine before its reservation ended.
+	runAhead bool
 
-	// The following are for the log line and the metrics.
+	// The following fields are for the log line and the metrics.
 	call         *dispatch.Call
 	openDuration time.Duration
 	engine       string
@@ -142,7 +142,7 @@
 		return
 	}
 	if current.headSent {
-		current.abort()
+		current.abort() // panics
 	}
 	current.writeError(err)
 }
@@ -195,7 +195,7 @@
 
 func (r *request) readBody(limits routing.LimitSpecification) error {
 	if limits.HeaderBytes > 0 && headerBytes(r.incoming) > limits.HeaderBytes {
-		return apierr.New(apierr.HeaderTooLarge, apierr.NotRun, "the headers exceed %d bytes", limits.HeaderBytes)
+		return apierr.New(apierr.HeaderTooLarge, apierr.NotRun, "the request headers exceed %d bytes", limits.HeaderBytes)
 	}
 	limit := limits.BodyBytes
 	if limit <= 0 {
@@ -206,7 +206,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(r.incoming.Body, limit+1))
 	if err != nil {
-		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "reading the body: %s", err)
+		return apierr.New(apierr.InvalidRequest, apierr.NotRun, "reading the request body: %s", err)
 	}
 	if int64(len(body)) > limit {
 		return errBodyTooLarge(limit)
@@ -215,11 +215,11 @@
 	return nil
 }
 
-// defaultBodyBytes is the limit if none is configured.
+// defaultBodyBytes is the limit of a request body if none is configured.
 const defaultBodyBytes = 8 << 20
 
 func errBodyTooLarge(limit int64) error {
-	return apierr.New(apierr.BodyTooLarge, apierr.NotRun, "the body exceeds %d bytes", limit)
+	return apierr.New(apierr.BodyTooLarge, apierr.NotRun, "the request body exceeds %d bytes", limit)
 }
 
 func headerBytes(incoming *http.Request) int64 {
@@ -232,7 +232,7 @@
 	return int64(size)
 }
 
-// deadline returns when the time limit of the caller or of the route ends, whichever is first.
+// deadline returns the end of the caller's or the route's time limit, whichever is earlier.
 func (r *request) deadline() time.Time {
 	limit := r.route.Timeout()
 	if r.caller.TimeLimit > 0 {
@@ -296,7 +296,7 @@
 	return status
 }
 
-// writeError sends the error response of a request to which no response was begun.
+// writeError sends the error response of a request whose response has not begun.
 func (r *request) writeError(err error) {
 	failure := apierr.From(err, apierr.OutcomeUnknown)
 	status := statusOf(failure)
--- a/internal/ingress/stall.go
+++ b/internal/ingress/stall.go
@@ -7,8 +7,8 @@
 
 const (
 	// firstEventTimeout and nextEventTimeout are how long a resumable stream may be silent before
-	// it is retried. Before its first event the call may be queued at the engine; after it, the
-	// engine has lost the call or hangs.
+	// it is retried. Before its first event the call may be queued at the engine; silence after an
+	// event means that the engine has lost the call or hangs.
 	firstEventTimeout = 1500 * time.Millisecond
 	nextEventTimeout  = 700 * time.Millisecond
 )
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -55,8 +55,8 @@
 		s.attempt = attempt
 		return s.relayAttempt()
 	})
-	// Store the turn only if the stream is complete: the status is that of the first attempt, and
-	// the rest may be missing.
+	// Store the turn only if the stream is complete. The status doesn't tell: it comes from the first attempt, and
+	// the rest of the stream may be missing.
 	complete := err == nil && s.sse.State() == eventstream.Complete
 	if complete && r.route.StoreTurns() && r.status < http.StatusMultipleChoices {
 		err = s.storeTurn()
@@ -213,9 +213,9 @@
 	switch {
 	case s.request.firstEventAt.IsZero():
 		s.request.firstEventAt = now
-	case s.request.ahead:
+	case s.request.runAhead:
 		// Events that were buffered during the reservation arrive all at once. Their gaps don't
-		// measure the engine and would make all others look slow.
+		// measure the engine and would make all other engines look slow.
 	default:
 		s.request.server.options.Registry.Observe(s.attempt.Engine(), eventGapStep, now.Sub(s.lastEventAt)/time.Duration(count))
 	}
@@ -249,7 +249,7 @@
 	if err := r.server.options.Turns.Put(putContext, r.caller.Program, records); err != nil {
 		r.server.options.Logger.Emit(events.TurnNotKept, events.F("request", r.caller.ID), events.F("error", err))
 		r.settle(s.generatedTokens())
-		return apierr.New(apierr.TurnsUnavailable, apierr.Ran, "%s", err)
+		return apierr.New(apierr.TurnsUnavailable, apierr.Ran, "the turn was not stored: %s", err)
 	}
 	return nil
 }
--- a/internal/ingress/streamlog_test.go
+++ b/internal/ingress/streamlog_test.go
@@ -73,7 +73,7 @@
 	assert.Equal(t, got.body, eventText(3, 4))
 }
 
-// A continuation must come from the same weights.
+// The continuation of a stream must come from an engine with the same version of the weights.
 func TestContinuationFromOtherWeightsIsRejected(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
@@ -96,15 +96,15 @@
 // A stream that can't be resumed is not ended because its engine is silent.
 func TestNonResumableStreamHasNoStallTimeout(t *testing.T) {
 	t.Parallel()
-	for _, passed := range []string{"", eventText(1, 1)} {
+	for _, sent := range []string{"", eventText(1, 1)} {
 		cluster := newTestCluster(t)
 		engine := cluster.engine("e", func(call *engineCall) {
 			call.beginStream()
-			if passed != "" {
-				call.chunk(passed)
+			if sent != "" {
+				call.chunk(sent)
 			}
 			<-time.After(firstEventTimeout + nextEventTimeout/2)
-			call.chunk(wholeStream[len(passed):])
+			call.chunk(wholeStream[len(sent):])
 			call.endStream()
 		})
 		got := cluster.send("/stream/", "c1", "")
--- a/internal/ingress/streamoutcome.go
+++ b/internal/ingress/streamoutcome.go
@@ -10,7 +10,7 @@
 	"github.com/mountstile/mountstile/internal/eventstream"
 )
 
-// How a stream ended, as in log lines and metrics. "Cut" streams were reset before their end.
+// The values of streamOutcome.result in log lines and metrics. A stream is cut if its connection was reset before its end.
 const (
 	streamComplete      = "whole"
 	streamCutByEngine   = "cut_by_engine"
@@ -23,7 +23,7 @@
 // streamOutcome is how a stream ended.
 type streamOutcome struct {
 	result string
-	// attemptCount is the number of responses read from engines, eventCount the number of whole
+	// attemptCount is the number of responses read from engines; eventCount is the number of complete
 	// events that were forwarded.
 	attemptCount int
 	eventCount   int
