--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -97,8 +97,8 @@
 	// EngineWait is the time spent waiting for a usable engine.
 	EngineWait time.Duration
 	// Candidates is the number of engines that the last placement could choose from. InFlight, Load and LatencyRatio
-	// describe the chosen engine: this gateway's calls in flight, the estimated calls in flight of all gateways, and its
-	// latency relative to the service's average. LoadAge is the age of the other gateways' load report.
+	// describe the chosen engine: this gateway's calls in flight, the estimated calls in flight of all gateways, and
+	// its latency relative to the service's average. LoadAge is the age of the other gateways' load report.
 	Candidates   int
 	InFlight     int
 	Load         float64
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -18,23 +18,24 @@
 	// slowEngineCost is the cost of a slow engine, in requests in flight for each unit of its latency ratio above 1.
 	slowEngineCost = 6.0
 	// prefixEngineShare is the share of the engines that prompts with the same prefix use while load allows;
-	// minPrefixEngines is their least number.
+	// minPrefixEngines is the minimum number of these engines.
 	prefixEngineShare = 1.0 / 3
 	minPrefixEngines  = 2
-	// prefillCost is the cost of processing as many tokens again as the call has new ones, in requests in flight. A
-	// prefill stalls all other calls of the engine, so the cost is proportional to the number of tokens.
+	// prefillCost is the cost of processing as many uncached tokens as the call has new tokens, in requests in flight.
+	// A prefill stalls all other calls of the engine, so the cost is proportional to the number of tokens.
 	prefillCost = 0.08
-	// maxPrefillCost bounds the cost of a prefill, so that a call can always move away from an overloaded engine.
+	// maxPrefillCost bounds the cost of a prefill, in requests in flight, so that a call can always move away from an
+	// overloaded engine.
 	maxPrefillCost = 1.0
 	// An engine counts as overloaded above overloadFactor times the mean number of calls in flight, plus
 	// overloadSlack calls.
 	overloadFactor = 1.2
 	overloadSlack  = 2.0
-	// overloadCost is the cost of each call above the overload threshold.
+	// overloadCost is the cost of each call above the overload threshold, in requests in flight.
 	overloadCost = 0.1
-	// firstTurnLoadCost is the cost of each call in flight for a program's first turn, which has no history to process
-	// again. A random cost of up to firstTurnJitter is added: the load reports of other gateways are stale, so that
-	// without it all gateways would choose the same engine between two reports.
+	// firstTurnLoadCost is the cost of each call in flight for a program's first turn, which has no history that an
+	// engine may have cached. A random cost of up to firstTurnJitter is added: the load reports of other gateways are
+	// stale, so that without it all gateways would choose the same engine between two reports.
 	firstTurnLoadCost = 0.1
 	firstTurnJitter   = 0.8
 	// firstTurnConnectionCost is the cost for a first turn of an engine to which no idle connection exists. Without it,
@@ -62,8 +63,8 @@
 type Prompt struct {
 	// SharedPrefix identifies the first part, which prompts of other programs also begin with.
 	SharedPrefix string
-	// SharedTokens is the number of tokens in the shared prefix. HistoryTokens counts the program's earlier turns, which
-	// only the engine that ran them has cached, and NewTokens the last part, which no engine has processed.
+	// SharedTokens is the number of tokens in the shared prefix. HistoryTokens counts the program's earlier turns,
+	// which only the engine that ran them has cached, and NewTokens the last part, which no engine has processed.
 	SharedTokens, HistoryTokens, NewTokens int64
 }
 
@@ -77,7 +78,7 @@
 // A prefill stalls all other calls of an engine, so the choice mostly minimizes it: the turns of a program
 // stay at the engine that ran the earlier ones, which is recorded or found by hashing the program, and programs with
 // the same prompt prefix share a subset of the engines. Load counteracts this: a program starts at an engine
-// with few calls of all gateways in flight, and leaves one that has far more of them than the others.
+// with few calls of all gateways in flight, and leaves an engine that has far more of them than the others.
 // Calls without a prompt go to the engine with the fewest calls of this gateway, preferably in its zone.
 func (r *Registry) choose(now time.Time, placement Placement, trace *Trace) *Engine {
 	r.mutex.Lock()
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -116,8 +116,8 @@
 	return retries.spend()
 }
 
-// resetOnEvents resets the counts of attempts if the last attempt delivered events, so that a stream still completes on an
-// engine that interrupts it after every event.
+// resetOnEvents resets the counts of attempts if the last attempt delivered events, so that a stream still completes on
+// an engine that interrupts it after every event.
 func (p *progress) resetOnEvents() {
 	if p.call.Stream == nil || p.call.Stream.Events() == p.events {
 		return
@@ -132,8 +132,8 @@
 	return resumeBackoff << max(p.resumes-1, 0)
 }
 
-// expired reports whether a call was canceled or its deadline has passed. It compares the clock as well, since the context's
-// timer may fire late after the whole process was paused.
+// expired reports whether a call was canceled or its deadline has passed. It compares the clock as well, since the
+// context's timer may fire late after the whole process was paused.
 func expired(ctx context.Context) bool {
 	deadline, limited := ctx.Deadline()
 	return ctx.Err() != nil || (limited && time.Now().After(deadline))
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// returnedTrustDelay is how long an engine whose record reappeared after its removal is used only as a fallback: if the
-	// record is a delayed one of an engine that has left, it expires within this time for lack of heartbeats.
+	// returnedTrustDelay is how long an engine whose record reappeared after its removal is used only as a fallback: if
+	// the record is a delayed one of an engine that has left, it expires within this time for lack of heartbeats.
 	returnedTrustDelay = 5 * time.Second
 	// outageGrace is how long after an outage of the store an engine whose record expired in it may be used. The
 	// platform restores the records of running engines within 2 s; the rest allows for their propagation.
 	outageGrace = 2200 * time.Millisecond
-	// outageExpiryDelay is how long after an outage the records that expired in it may be removed. A later removal means
-	// that the engine left.
+	// outageExpiryDelay is how long after an outage the records that expired in it may be removed. A later removal
+	// means that the engine left.
 	outageExpiryDelay = 500 * time.Millisecond
 	// removedGrace is how long an engine without a record may be used as a fallback.
 	removedGrace = 1200 * time.Millisecond
--- a/internal/ingress/resume_test.go
+++ b/internal/ingress/resume_test.go
@@ -14,7 +14,7 @@
 	"github.com/mountstile/mountstile/internal/routing"
 )
 
-// firstHalf is what the engine sends before it is interrupted, wholeStream its complete output.
+// firstHalf is what the engine sends before it is interrupted; wholeStream is its complete output.
 var (
 	firstHalf   = eventText(1, 2)
 	wholeStream = eventText(1, 4)
@@ -29,7 +29,7 @@
 	return text.String()
 }
 
-// rest sends the events after the one that the call names.
+// rest sends the events after the event ID in the call's After header.
 func (c *engineCall) rest() {
 	first := 1
 	if after := c.request.Header.Get("After"); after != "" {
@@ -54,8 +54,8 @@
 	call.reset()
 }
 
-// sendHTTP10 sends an HTTP/1.0 request and reads until the connection ends; end is the error, if
-// any.
+// sendHTTP10 sends an HTTP/1.0 request and reads until the connection ends; end is the error
+// of reading, if any.
 func sendHTTP10(t *testing.T, address string) (got []byte, end error) {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,5 +1,6 @@
 // Package ingress serves callers' requests on operators' routes: it finds the route, enforces the limits, reserves
-// tokens and looks up previous turns where the route requires it, dispatches the call to an engine, and relays the response as it arrives.
+// tokens and looks up previous turns where the route requires it, dispatches the call to an engine, and relays the
+// response as it arrives.
 //
 // An incomplete response is never ended as if it were complete: the connection is reset. A request that was not run is
 // refused at once with a Retry-After header.
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -111,7 +111,7 @@
 	return head
 }
 
-// forward feeds a part of the body to the stream and sends the result to the caller.
+// forward parses a part of the body and sends to the caller what may be forwarded so far.
 func (s *stream) forward(chunk []byte) error {
 	before := s.sse.EventsForwarded()
 	output, feedErr := s.sse.Feed(chunk)
--- a/internal/ingress/streamoutcome.go
+++ b/internal/ingress/streamoutcome.go
@@ -10,7 +10,8 @@
 	"github.com/mountstile/mountstile/internal/eventstream"
 )
 
-// The values of streamOutcome.result in log lines and metrics. A stream is cut if its connection was reset before its end.
+// The values of streamOutcome.result in log lines and metrics. A stream is cut if its connection was reset before its
+// end.
 const (
 	streamComplete      = "whole"
 	streamCutByEngine   = "cut_by_engine"
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -19,8 +19,8 @@
 	releaseKind = "limit_release"
 
 	acquireTimeout = 2 * time.Second
-	// concurrencyRetryAfter is the delay suggested to a tenant at its limit of concurrent calls: the time at which one of
-	// them ends is unknown.
+	// concurrencyRetryAfter is the delay suggested to a tenant at its limit of concurrent calls: the time at which one
+	// of them ends is unknown.
 	concurrencyRetryAfter = 500 * time.Millisecond
 )
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -37,8 +37,8 @@
 	reportFreshAge = 500 * time.Millisecond
 	// maxEntries bounds the engines in a report; the busiest ones are kept.
 	maxEntries = 64
-	// keyBytes is how many bytes of the hash of an engine's ID form its key. If two engines have the same key, the calls
-	// of both count for each.
+	// keyBytes is how many bytes of the hash of an engine's ID form its key. If two engines have the same key, the
+	// calls of both count for each.
 	keyBytes = 3
 )
 
@@ -194,7 +194,8 @@
 	return now.Sub(v.receivedAt), !v.receivedAt.IsZero()
 }
 
-// weight returns the weight of the last report: 1 while it is recent, then falling towards 0. The caller holds the mutex.
+// weight returns the weight of the last report: 1 while it is recent, then falling towards 0. The caller holds the
+// mutex.
 func (v *View) weight(now time.Time) float64 {
 	relativeAge := float64(now.Sub(v.receivedAt)) / float64(reportFreshAge)
 	if relativeAge <= 1 {
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -19,8 +19,8 @@
 	Body   []byte
 }
 
-// hopByHopHeaders are never forwarded. They apply to a single connection (RFC 9110, 7.6.1), except for Expect, which the
-// HTTP server has already answered.
+// hopByHopHeaders are never forwarded. They apply to a single connection (RFC 9110, 7.6.1), except for Expect, which
+// the HTTP server has already answered.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	"Proxy-Authenticate", "Proxy-Authorization",
