--- a/internal/turnstore/assignment.go
+++ b/internal/turnstore/assignment.go
@@ -176,8 +176,8 @@
 	return member
 }
 
-// otherShardsLoop makes a spare send heartbeats to members of the shards that it does not hold, because there may be
-// fewer spares than shards.
+// otherShardsLoop makes a spare send heartbeats to members of the shards that it does not hold, so that it notices
+// which of them lack a member: there may be fewer spares than shards.
 func (r *Replica) otherShardsLoop(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
--- a/internal/turnstore/client.go
+++ b/internal/turnstore/client.go
@@ -70,7 +70,7 @@
 type OpenedTurn struct {
 	// Prefix is the concatenated text of all previous turns.
 	Prefix []byte
-	// Engine ran the previous turn or another turn of the program; empty if unknown.
+	// Engine is the engine that ran the previous turn or another turn of the program; empty if unknown.
 	Engine string
 	// Reserved reports that a charge was reserved and must be settled.
 	Reserved bool
@@ -308,7 +308,8 @@
 	}
 }
 
-// openInShard opens a turn at the replicas of a shard. It starts over with the newer set whenever a replica returns one.
+// openInShard opens a turn at the replicas of a shard. It starts over with the newer set whenever a replica returns
+// one.
 func (c *Client) openInShard(ctx context.Context, shard int, params OpenParams, opened *OpenedTurn, wantText bool) error {
 	for {
 		set := c.setOf(shard)
--- a/internal/turnstore/cluster_test.go
+++ b/internal/turnstore/cluster_test.go
@@ -45,7 +45,7 @@
 type storeDown struct{}
 
 // Error implements error.
-func (storeDown) Error() string { return "down" }
+func (storeDown) Error() string { return "the configuration store is down" }
 
 func newMemoryStore() *memoryStore { return &memoryStore{entries: make(map[string]configstore.Entry)} }
 
@@ -197,7 +197,7 @@
 type cutOff struct{}
 
 // Error implements error.
-func (cutOff) Error() string { return "cut off" }
+func (cutOff) Error() string { return "the node is cut off" }
 
 func (l *links) dialFrom(from string) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, to string) (net.Conn, error) {
--- a/internal/turnstore/collector.go
+++ b/internal/turnstore/collector.go
@@ -12,8 +12,8 @@
 	newer     *ReplicaSet
 	responded map[string]bool
 	complete  map[string]bool
-	// reserved holds the replicas that have synced the reservation; reservedComplete those of them that are complete,
-	// whose lists of charges can be relied on.
+	// reserved holds the replicas that have synced the reservation; reservedComplete holds the complete
+	// replicas among them, whose lists of charges can be relied on.
 	reserved         map[string]bool
 	reservedComplete map[string]bool
 	// known reports that some replica has the previous turn, though perhaps not its text or its predecessors.
@@ -21,7 +21,7 @@
 	turns    map[string]conversation.Turn
 	charges  map[string]conversation.Charge
 	withText map[string]bool
-	// engine ran the program's last turn, according to some replica.
+	// engine is the engine that ran the program's last turn, according to some replica.
 	engine string
 }
 
--- a/internal/turnstore/health.go
+++ b/internal/turnstore/health.go
@@ -26,7 +26,8 @@
 
 	mutex    sync.Mutex
 	failures int
-	lostAt   time.Time
+	// lostAt is when the shard was marked as lost; zero unless it is lost.
+	lostAt time.Time
 }
 
 // recordSuccess notes that a quorum responded, which ends an outage of the shard.
@@ -40,7 +41,8 @@
 	}
 }
 
-// recordFailure notes that an open found no quorum, and marks the shard as lost after lostAfterFailures of them.
+// recordFailure notes that an open found no quorum, and marks the shard as lost after lostAfterFailures consecutive
+// failures.
 func (h *shardHealth) recordFailure(cause error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -75,8 +77,8 @@
 	return existing
 }
 
-// Reachable reports whether at least half of the shards have a quorum. Turns of the others are rejected after a short
-// timeout.
+// Reachable reports whether at least half of the shards have a quorum. Turns of the other shards are rejected after
+// a short timeout.
 func (c *Client) Reachable() bool {
 	sets := c.allSets()
 	reachable := 0
@@ -88,7 +90,8 @@
 	return len(sets) == 0 || atLeastHalf(reachable, len(sets))
 }
 
-// ShardHealthy reports whether the last open in the program's shard found a quorum, or there was none yet.
+// ShardHealthy reports whether the last open in the program's shard found a quorum, or no turn has been opened there
+// yet.
 func (c *Client) ShardHealthy(program string) bool {
 	shard, _ := c.shardOf(program)
 	return !c.shardHealth(shard).failing()
--- a/internal/turnstore/loadexchange.go
+++ b/internal/turnstore/loadexchange.go
@@ -11,7 +11,7 @@
 	"github.com/mountstile/mountstile/internal/transport"
 )
 
-// loadTimeout bounds a report that is sent by itself; older counts are stale.
+// loadTimeout bounds the request of a report that is sent without an open request; after it the counts are stale.
 const loadTimeout = 500 * time.Millisecond
 
 // loadReport is the load report attached to one open; the zero value is none.
@@ -23,7 +23,7 @@
 	targets []Member
 	// epoch is the epoch of the first shard's set.
 	epoch int64
-	// source is the replica that is asked for the others' load.
+	// source is the replica that is asked for the other gateways' load.
 	source string
 }
 
@@ -73,8 +73,9 @@
 	}
 }
 
-// loadSourceSelector selects the replica that is asked for the others' load: that of the own zone, or the next one if
-// the previous request has not been answered yet. So a lost replica interrupts the updates only briefly.
+// loadSourceSelector selects the replica that is asked for the other gateways' load: the replica in the client's zone,
+// or the next target if the previous request has not been answered yet, so that a lost replica interrupts the updates
+// only briefly.
 type loadSourceSelector struct {
 	mutex   sync.Mutex
 	offset  int
--- a/internal/turnstore/membership.go
+++ b/internal/turnstore/membership.go
@@ -29,8 +29,8 @@
 	storeTimeout = time.Second
 	// candidateQuietPeriod is how long the list of candidates must be unchanged before the first sets are created.
 	candidateQuietPeriod = 800 * time.Millisecond
-	// candidateTimeout is how long the least number of candidates, ReplicaOptions.Copies, waits for more of them, and how
-	// long the other candidates leave it to the first one to create the sets.
+	// candidateTimeout is how long the candidates wait for more if there are only ReplicaOptions.Copies of them, the
+	// minimum, and how long the others leave it to the first candidate to create the sets.
 	candidateTimeout = 4 * time.Second
 	// bootstrapInterval is the delay between attempts to create the first sets.
 	bootstrapInterval = time.Second
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// bootstrap creates the first sets from all replicas that started with the system. Each candidate writes a key of its
-// own, because concurrent updates of one shared list would conflict with each other.
+// bootstrap creates the first sets from all replicas that started with the system. Each candidate writes its own
+// key, because concurrent updates of one shared list would conflict with each other.
 func (r *Replica) bootstrap(ctx context.Context, state *bootstrapState) error {
 	now := time.Now()
 	candidates := r.listCandidates()
@@ -294,9 +294,9 @@
 	return r.replaceSet(ctx, set, next)
 }
 
-// updateContact tracks since when this replica has had contact with a quorum. Without such contact it must not replace a
-// member that seems lost: it may itself be partitioned from the others, although it reaches the store, or be reconnecting
-// to them one by one.
+// updateContact tracks since when this replica has had contact with a quorum. Without such contact it must not replace
+// a member that seems lost: it may itself be partitioned from the others, although it reaches the store, or be
+// reconnecting to them one by one.
 func (r *Replica) updateContact(set ReplicaSet) {
 	switch {
 	case !r.hasQuorumContact(set):
--- a/internal/turnstore/messages.go
+++ b/internal/turnstore/messages.go
@@ -23,7 +23,7 @@
 	Previous string               `json:"p,omitempty"`
 	// WithText requests the turns of the chain, not only whether the previous turn is known.
 	WithText bool `json:"t,omitempty"`
-	// Gateway is the node that reports its load. Relayed requests come from another node.
+	// Gateway is the gateway that reports its load. If the request is relayed, its sender is another node.
 	Gateway string `json:"f,omitempty"`
 	// Load is the gateway's report of its calls in flight, or nil; WantLoad requests the sum of the other gateways'
 	// reports.
@@ -32,17 +32,19 @@
 }
 
 type openResponse struct {
-	// Newer is set, and nothing else, if the request's epoch is old.
+	// Newer is the replica's set if it is newer than the request's epoch. The replica then neither reserves tokens nor
+	// reads turns.
 	Newer *ReplicaSet `json:"n,omitempty"`
 	// Complete reports whether the replica counts toward a read quorum; see folderRecord.
 	Complete bool                    `json:"c,omitempty"`
 	Charges  conversation.ChargeList `json:"q,omitempty"`
-	// Engine ran the program's last turn; empty if unknown.
-	Engine  string              `json:"g,omitempty"`
-	Known   bool                `json:"k,omitempty"`
-	Chain   []conversation.Turn `json:"h,omitempty"`
-	Missing string              `json:"m,omitempty"`
-	Load    *load.Counts        `json:"l,omitempty"`
+	// Engine is the engine that ran the program's last turn; empty if unknown.
+	Engine string              `json:"g,omitempty"`
+	Known  bool                `json:"k,omitempty"`
+	Chain  []conversation.Turn `json:"h,omitempty"`
+	// Missing is the ID of a turn that the replica lacks or can't read; Chain then starts after it.
+	Missing string       `json:"m,omitempty"`
+	Load    *load.Counts `json:"l,omitempty"`
 }
 
 type putRequest struct {
@@ -56,7 +58,7 @@
 }
 
 type digestRequest struct {
-	// From is the requesting replica. A connection that was dialed by this side does not identify its peer.
+	// From is the requesting replica. The connection does not identify it if the recipient dialed it.
 	From        string `json:"f,omitempty"`
 	Shard       int    `json:"s,omitempty"`
 	Epoch       int64  `json:"e"`
--- a/internal/turnstore/node.go
+++ b/internal/turnstore/node.go
@@ -50,7 +50,7 @@
 }
 
 // readsStore reports whether this replica reads the configuration store. Calls to the store are expensive, so only a
-// few members read it: one more than may be lost at once. While the set is unknown, all do.
+// few members read it: one more than may be lost at once. While the set is unknown, all replicas read it.
 func (n *Node) readsStore() bool {
 	set := n.replica.setOf(0)
 	return set.Epoch == 0 || contains(set.storeReaders(), n.options.Replica.Self.Name)
--- a/internal/turnstore/pull.go
+++ b/internal/turnstore/pull.go
@@ -24,7 +24,7 @@
 	sequence    uint64
 	// caughtUpAt is when the last pull that reached the peer's newest record was requested; zero if none has.
 	caughtUpAt time.Time
-	// complete is whether the peer was complete then.
+	// complete is whether the peer was complete at caughtUpAt.
 	complete bool
 	// inFlight is set while a request of the pull loop is pending.
 	inFlight bool
@@ -91,8 +91,8 @@
 	tasks.Wait()
 }
 
-// startRound pulls from all other members if fast is set, or else from one, with heartbeats to the rest. Members with a
-// pending request are skipped.
+// startRound pulls from all other members if fast is set, or else from one, and sends heartbeats to the rest. Members
+// with a pending request are skipped.
 func (r *Replica) startRound(ctx context.Context, tasks *sync.WaitGroup, round int, fast bool) {
 	others := r.others()
 	if len(others) == 0 {
@@ -127,8 +127,8 @@
 	return changed
 }
 
-// pullSource returns the peer to pull from. A member takes the others in rotation, since each has nearly everything
-// anyway; a spare takes the nearest one, which saves traffic between zones.
+// pullSource returns the peer to pull from. A member pulls from the others in rotation, since each has nearly all
+// records anyway; a spare pulls from the nearest member, which saves traffic between zones.
 func (r *Replica) pullSource(others []Member, round int) Member {
 	if r.ReplicaSet().Has(r.options.Self.Name) {
 		return others[round%len(others)]
@@ -136,7 +136,8 @@
 	return r.nearest(others)
 }
 
-// nearest returns the first member of this replica's zone that has not timed out, or else any.
+// nearest returns the first member of this replica's zone that has not timed out, or else the first member
+// of any zone.
 func (r *Replica) nearest(members []Member) Member {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -247,8 +248,8 @@
 	return missing
 }
 
-// fetch requests records from a peer and reports whether all requests succeeded and what they returned is synced. A peer
-// leaves out records that it no longer holds.
+// fetch requests records from a peer and reports whether all requests succeeded and what they returned is synced. A
+// peer leaves out records that it no longer holds.
 func (r *Replica) fetch(ctx context.Context, member Member, progress *peerProgress, keys []conversation.Key) bool {
 	for len(keys) > 0 {
 		batch := keys[:min(len(keys), fetchKeys)]
@@ -297,9 +298,9 @@
 }
 
 // pulledReadQuorum reports whether this replica has pulled from a read quorum of complete members, or from all members,
-// in pulls that were requested after since. During a change, each acknowledged record is
-// on enough of the current members, so the next members need not be contacted: one of them may be lost, and one may be
-// this replica itself. The caller holds the mutex.
+// in pulls that were requested after since. During a change, each acknowledged record is on enough of the current
+// members, so the next members need not be contacted: one of them may be lost, and one may be this replica itself. The
+// caller holds the mutex.
 func (r *Replica) pulledReadQuorum(since time.Time) bool {
 	completePeers := make(map[string]bool)
 	pulledPeers := make(map[string]bool)
--- a/internal/turnstore/record.go
+++ b/internal/turnstore/record.go
@@ -7,12 +7,12 @@
 )
 
 // A record on disk is a kind byte followed by its fields in a fixed order: numbers as varints, strings with a length
-// prefix, and a turn's text last, without a length. The format is compact because a replica decodes its whole log
-// before it serves after a restart.
+// prefix, a charge's settled flag as its last byte, and a turn's text last, without a length. The format is compact
+// because a replica decodes its whole log before it serves after a restart.
 const (
 	turnRecord   = 1
 	chargeRecord = 2
-	// chargeWithEngineRecord is a charge that also names its engine, between the token count and the last byte.
+	// chargeWithEngineRecord is a charge that also names its engine, between the token count and the settled flag.
 	chargeWithEngineRecord = 3
 )
 
--- a/internal/turnstore/retirement_test.go
+++ b/internal/turnstore/retirement_test.go
@@ -45,7 +45,7 @@
 	timer := time.NewTimer(time.Second)
 	defer timer.Stop()
 	<-timer.C
-	assert.Assert(t, !second.retired.Load(), "only one copy would be left")
+	assert.Assert(t, !second.retired.Load(), "the second machine is retired although only one copy is left")
 	c.put("b", "a")
 	c.add("newcomer")
 	eventually(t, "the second machine is retired", second.retired.Load)
--- a/internal/turnstore/retry.go
+++ b/internal/turnstore/retry.go
@@ -77,7 +77,7 @@
 			}
 		case <-ctx.Done():
 			var zero Response
-			return zero, unavailable("node at %s: %s", address, ctx.Err())
+			return zero, unavailable("no response from the node at %s: %s", address, ctx.Err())
 		}
 	}
 }
--- a/internal/turnstore/shard.go
+++ b/internal/turnstore/shard.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turns and charges are sharded by program. Each shard has a replica set of its own, without members in common, so a
+// Turns and charges are sharded by program. The shards have disjoint replica sets, so a
 // replica holds the turns of one shard only, and a lost, retired or added replica affects one shard. The number of
 // shards is fixed when the system first starts (docs/design/shards.md).
 
--- a/internal/turnstore/shard_test.go
+++ b/internal/turnstore/shard_test.go
@@ -126,17 +126,17 @@
 	assert.Assert(t, apierr.Is(err, apierr.TurnsUnavailable), "%v", err)
 	_, err = c.readAs(older, "b")
 	assert.Assert(t, apierr.Is(err, apierr.TurnsUnavailable), "%v", err)
-	assert.Assert(t, c.client.Ready(t.Context()), "the other shard must still be served")
+	assert.Assert(t, c.client.Ready(t.Context()), "the client is not ready although the other shard can be served")
 	for _, member := range c.store.setOf(1).Members {
 		c.kill(c.machineOf(member.Name))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	assert.Assert(t, !c.client.Ready(ctx), "no shard can be served")
+	assert.Assert(t, !c.client.Ready(ctx), "the client is ready although no shard can be served")
 }
 
-// Spares replace lost members of any shard, whichever shard they held before: first one of each shard, then a second
-// one of the same shard.
+// Spares replace lost members of any shard, whichever shard they held before: first a member of each shard, then
+// another member of the second shard.
 func TestSparesReplaceMembersOfAnyShard(t *testing.T) {
 	t.Parallel()
 	c := newShardedCluster(t, 3)
@@ -147,7 +147,7 @@
 		lost := c.machineOf(c.store.setOf(shard).Members[0].Name)
 		c.kill(lost)
 		c.remove(lost)
-		eventually(t, "another machine has replaced it", func() bool {
+		eventually(t, "another machine has replaced the lost one", func() bool {
 			set := c.store.setOf(shard)
 			return !set.Has(lost.name) && !set.Changing() && len(set.Members) == 3
 		})
@@ -225,7 +225,7 @@
 	assert.Assert(t, opened.record().Complete)
 	moved := c.store.setOf(0)
 	assert.NilError(t, opened.saveShard(moved))
-	assert.Assert(t, !opened.record().Complete, "complete in a shard of which it holds no records")
+	assert.Assert(t, !opened.record().Complete, "the replica is complete in a shard of which it holds no records")
 }
 
 // A member must not count another member as a spare: a retiring member would wait in vain for it to join.
