--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -26,7 +26,7 @@
 	// removedGrace is how long an engine without a record may be used as a fallback.
 	removedGrace = 1200 * time.Millisecond
 	// drainingGrace is how long a stream may be resumed at an engine that began to drain. The platform
-	// accepts requests that reach the engine within 2 s; the rest of this time is for transit.
+	// accepts requests that reach the engine within 2 s; the difference is left for the time in transit.
 	drainingGrace = 1200 * time.Millisecond
 	// removedRetention is how long an engine without a record is kept.
 	removedRetention = 30 * time.Second
