--- a/internal/admin/models.go
+++ b/internal/admin/models.go
@@ -5,15 +5,16 @@
 	"net/http"
 )
 
-// EngineModel is an engine of a pool whose engines load models.
+// EngineModel is an engine of a pool that loads models, and the model that the engine has.
 type EngineModel struct {
 	Pool   string `json:"pool"`
 	Engine string `json:"engine"`
-	// Model is empty while the engine loads, or before it gets its first order.
+	// Model is empty while the engine loads, and until it is first instructed to load a model.
 	Model string `json:"model,omitempty"`
 }
 
-// ModelList is which engine has which model, as this node knows it.
+// ModelList lists the engines of pools that load models, with the models that they have according to the node that
+// serves the request.
 type ModelList struct {
 	Engines []EngineModel `json:"engines"`
 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -18,23 +18,24 @@
 	// slowEngineCost is the cost of a slow engine, in requests in flight for each unit of its latency ratio above 1.
 	slowEngineCost = 6.0
 	// prefixEngineShare is the share of the engines that prompts with the same prefix use while load allows;
-	// minPrefixEngines is their least number.
+	// minPrefixEngines is the minimum number of these engines.
 	prefixEngineShare = 1.0 / 3
 	minPrefixEngines  = 2
-	// prefillCost is the cost of processing tokens again, for as many tokens as the call itself adds: a prefill
-	// stalls all other calls of the engine.
+	// prefillCost is the cost of processing as many uncached tokens as the call has new tokens, in requests in flight.
+	// A prefill stalls all other calls of the engine, so the cost is proportional to the number of tokens.
 	prefillCost = 0.08
-	// maxPrefillCost bounds it, so that a call can always move away from an overloaded engine.
+	// maxPrefillCost bounds the cost of a prefill, in requests in flight, so that a call can always move away from an
+	// overloaded engine.
 	maxPrefillCost = 1.0
-	// overloadFactor and overloadSlack define from how many calls on an engine counts as overloaded: the factor times
-	// the mean, plus the slack.
+	// An engine counts as overloaded above overloadFactor times the mean number of calls in flight, plus
+	// overloadSlack calls.
 	overloadFactor = 1.2
 	overloadSlack  = 2.0
-	// overloadCost is the cost of each call above that number.
+	// overloadCost is the cost of each call above the overload threshold, in requests in flight.
 	overloadCost = 0.1
-	// firstTurnLoadCost is the cost of each call in flight for a program's first turn, which has no history to process
-	// again. A random cost of up to firstTurnJitter is added: the load reports of other gateways are stale, so that
-	// without it all gateways would choose the same engine between two reports.
+	// firstTurnLoadCost is the cost of each call in flight for a program's first turn, which has no history that an
+	// engine may have cached. A random cost of up to firstTurnJitter is added: the load reports of other gateways are
+	// stale, so that without it all gateways would choose the same engine between two reports.
 	firstTurnLoadCost = 0.1
 	firstTurnJitter   = 0.8
 	// firstTurnConnectionCost is the cost for a first turn of an engine to which no idle connection exists. Without it,
@@ -62,8 +63,8 @@
 type Prompt struct {
 	// SharedPrefix identifies the first part, which prompts of other programs also begin with.
 	SharedPrefix string
-	// SharedTokens is the length of that part. HistoryTokens is that of the program's earlier turns, cached only by the
-	// engine that ran them, and NewTokens that of the last part, which no engine has processed.
+	// SharedTokens is the number of tokens in the shared prefix. HistoryTokens counts the program's earlier turns,
+	// which only the engine that ran them has cached, and NewTokens the last part, which no engine has processed.
 	SharedTokens, HistoryTokens, NewTokens int64
 }
 
@@ -77,7 +78,7 @@
 // A prefill stalls all other calls of an engine, so the choice mostly minimizes it: the turns of a program
 // stay at the engine that ran the earlier ones, which is recorded or found by hashing the program, and programs with
 // the same prompt prefix share a subset of the engines. Load counteracts this: a program starts at an engine
-// with few calls of all gateways in flight, and leaves one that has far more of them than the others.
+// with few calls of all gateways in flight, and leaves an engine that has far more of them than the others.
 // Calls without a prompt go to the engine with the fewest calls of this gateway, preferably in its zone.
 func (r *Registry) choose(now time.Time, placement Placement, trace *Trace) *Engine {
 	r.mutex.Lock()
@@ -101,7 +102,7 @@
 	trace.LoadAge, _ = r.others.Age(now)
 	trace.LatencyRatio = best.latencyRatio.at(now)
 	best.inFlight++
-	best.breaker.sent(now)
+	best.breaker.recordSent(now)
 	return best
 }
 
@@ -168,7 +169,8 @@
 	return engines
 }
 
-// callsAt returns the number of calls in flight at an engine: those of this gateway and the estimate for the others.
+// callsAt returns the number of calls in flight at an engine: the calls of this gateway and the estimated
+// calls of the others.
 func (r *Registry) callsAt(now time.Time, engine *Engine) float64 {
 	return float64(engine.inFlight) + r.others.Calls(now, engine.loadKey)
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,5 +1,5 @@
-// Package events is the catalogue of numbered log events and the logger that writes them.
-// docs/EVENTS.md is generated from it; a test holds both together.
+// Package events defines the numbered log events and the logger that writes them. docs/EVENTS.md is
+// generated from the catalogue, and a test fails if the two differ.
 package events
 
 import (
@@ -12,94 +12,94 @@
 // ID is the number of an event. A number is never reused.
 type ID int
 
-// The events, by concern: 1xx node, 2xx membership, 3xx configuration, 4xx program state,
+// The events, grouped by hundreds: 1xx node, 2xx membership, 3xx configuration, 4xx program state,
 // 5xx scheduling and engines, 6xx gateway, 7xx administration, 8xx transport.
 const (
-	NodeStarting         ID = 101
-	NodeReady            ID = 102
-	NodeStopping         ID = 103
-	NodeStopped          ID = 104
-	PlainTransport       ID = 105
-	ListenerFailed       ID = 106
-	MachineLeaving       ID = 107
-	MachineListFailed    ID = 108
-	IdentityInUse        ID = 109
-	MemberAlive          ID = 201
-	MemberSuspect        ID = 202
-	MemberDead           ID = 203
-	MemberLeft           ID = 204
-	SelfRefuted          ID = 205
-	SelfPaused           ID = 206
-	ConfigInstalled      ID = 301
-	ConfigPublished      ID = 302
-	ConfigConflict       ID = 303
-	ConfigStoreFailed    ID = 304
-	ConfigStoreOlder     ID = 305
-	ConfigFetchFailed    ID = 306
-	ConfigRejected       ID = 307
-	CatalogSourceStarted ID = 308
-	CatalogSourceStopped ID = 309
-	CatalogPeerReached   ID = 310
-	CatalogPeerLost      ID = 311
-	StoreReached         ID = 312
-	StoreLost            ID = 313
-	RoutesInstalled      ID = 314
-	SettingsReloaded     ID = 315
-	PartitionTableMade   ID = 401
-	GroupStarted         ID = 402
-	GroupLeader          ID = 403
-	GroupMembersChanged  ID = 404
-	GroupRemoved         ID = 405
-	GroupQuorumLost      ID = 406
-	StorageFailed        ID = 407
-	AttemptLost          ID = 408
-	ProgramExpired       ID = 409
-	BudgetOverrun        ID = 410
-	AttemptUnheld        ID = 411
-	ReplicaOpened        ID = 412
-	ReplicaComplete      ID = 413
-	ReplicaSetChanged    ID = 414
-	ReplicaSetStep       ID = 415
-	ReplicaLogFailed     ID = 416
-	TurnRefused          ID = 417
-	TurnNotKept          ID = 418
-	ReplicaRetiring      ID = 419
-	ReplicasLost         ID = 420
-	ReplicasRegained     ID = 421
-	ReplicaShardChanged  ID = 422
-	CacheReleased        ID = 501
-	CacheReleaseFailed   ID = 502
-	EngineBreakerOpen    ID = 503
-	EngineBreakerClosed  ID = 504
-	PolicyEvaluationFail ID = 505
-	EngineResumed        ID = 506
-	EngineStalled        ID = 507
-	ModelOrdered         ID = 508
-	ModelLoaded          ID = 509
-	OrderFenced          ID = 510
-	OrderFailed          ID = 511
-	EngineChanged        ID = 512
-	EngineGone           ID = 513
-	AttemptRetried       ID = 514
-	StoreOutageEnded     ID = 515
-	StreamResumed        ID = 516
-	ModelRefuted         ID = 517
-	CallFailed           ID = 601
-	CallRefused          ID = 602
-	RequestPanicked      ID = 603
-	RequestEnded         ID = 604
-	RequestFailed        ID = 605
-	RequestMalformed     ID = 606
-	AdminChange          ID = 701
-	AdminDenied          ID = 702
-	DrainRequested       ID = 703
-	PeerRejected         ID = 801
-	PeerLineTooLong      ID = 802
-	CertificatesReloaded ID = 803
-	PeerWayChanged       ID = 804
+	NodeStarting           ID = 101
+	NodeReady              ID = 102
+	NodeStopping           ID = 103
+	NodeStopped            ID = 104
+	PlainTransport         ID = 105
+	ListenerFailed         ID = 106
+	MachineLeaving         ID = 107
+	MachineListFailed      ID = 108
+	IdentityInUse          ID = 109
+	MemberAlive            ID = 201
+	MemberSuspect          ID = 202
+	MemberDead             ID = 203
+	MemberLeft             ID = 204
+	SelfRefuted            ID = 205
+	SelfPaused             ID = 206
+	ConfigInstalled        ID = 301
+	ConfigPublished        ID = 302
+	ConfigConflict         ID = 303
+	ConfigStoreFailed      ID = 304
+	ConfigStoreOlder       ID = 305
+	ConfigFetchFailed      ID = 306
+	ConfigRejected         ID = 307
+	CatalogSourceStarted   ID = 308
+	CatalogSourceStopped   ID = 309
+	CatalogPeerReached     ID = 310
+	CatalogPeerLost        ID = 311
+	StoreReached           ID = 312
+	StoreLost              ID = 313
+	RoutesInstalled        ID = 314
+	SettingsReloaded       ID = 315
+	PartitionTableMade     ID = 401
+	GroupStarted           ID = 402
+	GroupLeader            ID = 403
+	GroupMembersChanged    ID = 404
+	GroupRemoved           ID = 405
+	GroupQuorumLost        ID = 406
+	StorageFailed          ID = 407
+	AttemptLost            ID = 408
+	ProgramExpired         ID = 409
+	BudgetOverrun          ID = 410
+	AttemptUnheld          ID = 411
+	ReplicaOpened          ID = 412
+	ReplicaComplete        ID = 413
+	ReplicaSetChanged      ID = 414
+	ReplicaSetStep         ID = 415
+	ReplicaLogFailed       ID = 416
+	TurnRefused            ID = 417
+	TurnNotKept            ID = 418
+	ReplicaRetiring        ID = 419
+	ReplicasLost           ID = 420
+	ReplicasRegained       ID = 421
+	ReplicaShardChanged    ID = 422
+	CacheReleased          ID = 501
+	CacheReleaseFailed     ID = 502
+	EngineBreakerOpen      ID = 503
+	EngineBreakerClosed    ID = 504
+	PolicyEvaluationFailed ID = 505
+	EngineResumed          ID = 506
+	EngineStalled          ID = 507
+	ModelOrdered           ID = 508
+	ModelLoaded            ID = 509
+	OrderFenced            ID = 510
+	OrderFailed            ID = 511
+	EngineChanged          ID = 512
+	EngineGone             ID = 513
+	AttemptRetried         ID = 514
+	StoreOutageEnded       ID = 515
+	StreamResumed          ID = 516
+	ModelRefuted           ID = 517
+	CallFailed             ID = 601
+	CallRefused            ID = 602
+	RequestPanicked        ID = 603
+	RequestEnded           ID = 604
+	RequestFailed          ID = 605
+	RequestMalformed       ID = 606
+	AdminChange            ID = 701
+	AdminDenied            ID = 702
+	DrainRequested         ID = 703
+	PeerRejected           ID = 801
+	PeerLineTooLong        ID = 802
+	CertificatesReloaded   ID = 803
+	PeerWayChanged         ID = 804
 )
 
-// Event describes one entry of the catalogue.
+// Event is an entry of the catalogue: an event's number, name, level and log message.
 type Event struct {
 	ID    ID
 	Name  string
@@ -107,7 +107,7 @@
 	Text  string
 }
 
-// Catalogue lists every event in the order of its number.
+// Catalogue lists all events by number.
 var Catalogue = []Event{
 	{NodeStarting, "node_starting", logrus.InfoLevel, "the process has read its settings and starts"},
 	{NodeReady, "node_ready", logrus.InfoLevel, "the node holds a configuration and serves callers"},
@@ -165,7 +165,7 @@
 	{CacheReleaseFailed, "cache_release_failed", logrus.WarnLevel, "an engine did not confirm a release; it is tried again"},
 	{EngineBreakerOpen, "engine_breaker_open", logrus.WarnLevel, "an engine failed repeatedly and gets no work for a while"},
 	{EngineBreakerClosed, "engine_breaker_closed", logrus.InfoLevel, "an engine answers again"},
-	{PolicyEvaluationFail, "policy_evaluation_failed", logrus.WarnLevel, "a policy failed at run time; the candidate was left out"},
+	{PolicyEvaluationFailed, "policy_evaluation_failed", logrus.WarnLevel, "a policy failed at run time; the candidate was left out"},
 	{EngineResumed, "engine_resumed", logrus.InfoLevel, "an answer was continued on another engine from the tokens already held"},
 	{EngineStalled, "engine_stalled", logrus.WarnLevel, "an engine sent nothing for too long; the attempt counts as lost"},
 	{ModelOrdered, "model_ordered", logrus.InfoLevel, "an engine was ordered to load another model"},
@@ -201,16 +201,17 @@
 	return index
 }()
 
-// Logger writes events of the catalogue. The zero value discards them.
+// Logger writes events of the catalogue. The zero value and nil discard them.
 type Logger struct {
 	entry     *logrus.Entry
 	startedAt time.Time
 }
 
-// timeLayout has milliseconds, so that lines of several processes can be put in order.
+// timeLayout includes milliseconds, so that the lines of several processes can be sorted by time.
 const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
-// NewLogger writes JSON lines to output at the given level; every line carries the node's name.
+// NewLogger returns a Logger that writes JSON lines to output. Events below level are discarded, and each line
+// has the node's name.
 func NewLogger(output io.Writer, level logrus.Level, node string) *Logger {
 	logger := logrus.New()
 	logger.SetOutput(output)
@@ -222,16 +223,16 @@
 // Discard returns a Logger that writes nothing.
 func Discard() *Logger { return NewLogger(io.Discard, logrus.PanicLevel, "") }
 
-// Field is one named value of a log line.
+// Field is a named value of a log line.
 type Field struct {
 	Name  string
 	Value any
 }
 
-// F makes a Field.
+// F returns a Field; it keeps calls of Emit short.
 func F(name string, value any) Field { return Field{Name: name, Value: value} }
 
-// Emit writes one event with its fields.
+// Emit writes an event with its fields. Values that are errors are written as their messages.
 func (l *Logger) Emit(id ID, fields ...Field) {
 	if l == nil || l.entry == nil {
 		return
@@ -242,7 +243,7 @@
 	}
 	values := make(logrus.Fields, len(fields)+2)
 	values["event"] = int(id)
-	// The time of day may jump; this one does not.
+	// Unlike the wall clock, the monotonic time since the start never jumps.
 	values["up_millis"] = time.Since(l.startedAt).Milliseconds()
 	values["name"] = event.Name
 	for _, field := range fields {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -226,7 +226,7 @@
 func TestResumableStreamMovesToAnotherEngine(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
-	cluster.engineThatDies()
+	cluster.crashingEngine()
 	response, err := cluster.startRequest(context.Background(), "/resume/", "c1", "")
 	assert.NilError(t, err)
 	defer response.Body.Close()
@@ -246,7 +246,7 @@
 	t.Parallel()
 	cluster := newTestCluster(t)
 	cluster.withReplica()
-	cluster.engineThatDies()
+	cluster.crashingEngine()
 	program := []string{"Program", "p", "Budget", "100", "Most", "18"}
 	var first *http.Response
 	eventually(t, "the replica accepts the first turn", func() bool {
@@ -293,7 +293,7 @@
 	assert.Equal(t, cluster.engines["e"].runs.Load(), int64(3))
 }
 
-// The end of a kept turn is sent only once it is stored; without replicas the response is
+// The end of a turn on a route that stores turns is sent only once it is stored; without replicas the response is
 // interrupted.
 func TestUnstoredTurnIsInterrupted(t *testing.T) {
 	t.Parallel()
@@ -360,7 +360,7 @@
 	}
 	assert.NilError(t, turn("t1").err) // 18 tokens of 50
 	eventually(t, "the first turn is settled", func() bool {
-		got := turn("t2") // breaks off after 18 tokens
+		got := turn("t2") // interrupted after 18 tokens
 		return got.status == 200 && got.err != nil
 	})
 	eventually(t, "the budget is spent", func() bool { return turn("t3").status == http.StatusPaymentRequired })
@@ -387,7 +387,7 @@
 	select {
 	case <-left:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the engine call was not cancelled within 500 ms")
+		t.Fatal("the engine call was not canceled within 500 ms")
 	}
 }
 
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -18,11 +18,13 @@
 	acquireKind = "limit_acquire"
 	releaseKind = "limit_release"
 
-	acquireTimeout        = 2 * time.Second
+	acquireTimeout = 2 * time.Second
+	// concurrencyRetryAfter is the delay suggested to a tenant at its limit of concurrent calls: the time at which one
+	// of them ends is unknown.
 	concurrencyRetryAfter = 500 * time.Millisecond
 )
 
-// Request is a request for a tenant's permit to run a call on a service, or to release it.
+// Request asks for a permit to run a tenant's call on a service, or releases that permit.
 type Request struct {
 	Tenant  string `json:"tenant"`
 	Service string `json:"service"`
@@ -34,21 +36,21 @@
 // Response is the response to a Request for a permit.
 type Response struct {
 	Granted bool `json:"granted"`
-	// RetryAfter is in milliseconds.
+	// RetryAfter is the delay before the next request, in milliseconds; 0 if the permit is granted.
 	RetryAfter int64 `json:"retry_after_ms,omitempty"`
 }
 
 type limitKey struct{ tenant, service string }
 
-// counter holds the permits of one limit. Limiter's mutex guards it.
+// counter counts one tenant's calls on one service. Limiter's mutex guards it.
 type counter struct {
 	bucket *rate.Limiter
-	// held maps the IDs of calls with a permit to its expiry.
-	held map[string]time.Time
+	// permits maps the ID of each call that has a permit to the permit's expiry.
+	permits map[string]time.Time
 }
 
 // Limiter enforces limits across all nodes. The limit of each tenant on each service is counted by one owner node,
-// chosen by rendezvous hashing, so that no single node counts for all limits. While nodes disagree about the
+// chosen by rendezvous hashing, so that the counting is spread over all nodes. While nodes disagree about the
 // membership, two owners may each grant the full limit.
 type Limiter struct {
 	network    *transport.Transport
@@ -70,7 +72,7 @@
 }
 
 // Acquire acquires a permit if the tenant has a limit on the service. The error is an *apierr.Error with
-// LimitExceeded. If the owner is unreachable, the call is allowed: the next owner starts counting within
+// LimitExceeded. If the owner does not respond, the call is allowed: another node becomes the owner within
 // seconds, and engines still limit their own concurrency.
 func (l *Limiter) Acquire(ctx context.Context, request Request) error {
 	if _, limited := l.config.Current().Set.LimitFor(request.Tenant, request.Service); !limited {
@@ -81,7 +83,7 @@
 		return nil
 	}
 	wait := time.Duration(response.RetryAfter) * time.Millisecond
-	return apierr.New(apierr.LimitExceeded, apierr.NotRun, "tenant %s has reached its limit on service %s", request.Tenant, request.Service).WithRetryAfter(wait)
+	return apierr.New(apierr.LimitExceeded, apierr.NotRun, "tenant %q has reached its limit on service %q", request.Tenant, request.Service).WithRetryAfter(wait)
 }
 
 func (l *Limiter) acquireFromOwner(ctx context.Context, request Request) (Response, error) {
@@ -113,7 +115,8 @@
 	l.network.Send(owner.Address, releaseKind, request)
 }
 
-// acquireLocal acquires a permit of a limit that this node owns. It is idempotent for each call.
+// acquireLocal acquires a permit from this node's counter. A repeated request for the same call is granted again and
+// not counted twice.
 func (l *Limiter) acquireLocal(request Request, now time.Time) Response {
 	configured, limited := l.config.Current().Set.LimitFor(request.Tenant, request.Service)
 	if !limited {
@@ -123,31 +126,31 @@
 	defer l.mutex.Unlock()
 	current := l.counter(limitKey{request.Tenant, request.Service})
 	current.expire(now)
-	if _, alreadyHeld := current.held[request.CallID]; alreadyHeld {
+	if _, granted := current.permits[request.CallID]; granted {
 		return Response{Granted: true}
 	}
-	return current.take(request, configured, now)
+	return current.acquire(request, configured, now)
 }
 
 func (l *Limiter) counter(key limitKey) *counter {
 	if l.counters[key] == nil {
-		l.counters[key] = &counter{bucket: rate.NewLimiter(rate.Inf, 1), held: make(map[string]time.Time)}
+		l.counters[key] = &counter{bucket: rate.NewLimiter(rate.Inf, 1), permits: make(map[string]time.Time)}
 	}
 	return l.counters[key]
 }
 
 func (c *counter) expire(now time.Time) {
-	for callID, until := range c.held {
-		if now.After(until) {
-			delete(c.held, callID)
+	for callID, expiry := range c.permits {
+		if now.After(expiry) {
+			delete(c.permits, callID)
 		}
 	}
 }
 
-// take applies the configured limit, which may have changed since the last call. The token bucket's burst is one
-// second's worth.
-func (c *counter) take(request Request, configured resource.Limit, now time.Time) Response {
-	if configured.Concurrent > 0 && len(c.held) >= configured.Concurrent {
+// acquire grants a permit if the configured limit allows one more call. The limit may have changed since the last call.
+// The token bucket's burst is the number of requests of one second, at least 1.
+func (c *counter) acquire(request Request, configured resource.Limit, now time.Time) Response {
+	if configured.Concurrent > 0 && len(c.permits) >= configured.Concurrent {
 		return Response{RetryAfter: concurrencyRetryAfter.Milliseconds()}
 	}
 	if configured.RequestsPerSecond > 0 {
@@ -157,7 +160,7 @@
 			return Response{RetryAfter: max(1, int64(1000/configured.RequestsPerSecond))}
 		}
 	}
-	c.held[request.CallID] = now.Add(time.Duration(request.HoldMillis) * time.Millisecond)
+	c.permits[request.CallID] = now.Add(time.Duration(request.HoldMillis) * time.Millisecond)
 	return Response{Granted: true}
 }
 
@@ -165,6 +168,6 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if current := l.counters[limitKey{request.Tenant, request.Service}]; current != nil {
-		delete(current.held, request.CallID)
+		delete(current.permits, request.CallID)
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -19,13 +19,14 @@
 	var decoded Counts
 	assert.NilError(t, json.Unmarshal(encoded, &decoded))
 	assert.DeepEqual(t, decoded, counts)
-	for _, damaged := range []string{"e-1", "e--1", "e--1x", "e--1-1", "e--11,"} {
+	for _, invalid := range []string{"e-1", "e--1", "e--1x", "e--1-1", "e--11,"} {
 		var failed *ErrCounts
-		assert.Assert(t, assertAs(decoded.UnmarshalText([]byte(damaged)), &failed), damaged)
+		assert.Assert(t, findErrCounts(decoded.UnmarshalText([]byte(invalid)), &failed), invalid)
 	}
 }
 
-func assertAs(err error, target **ErrCounts) bool {
+// findErrCounts sets target to the first ErrCounts in the chain of causes and reports whether there is one.
+func findErrCounts(err error, target **ErrCounts) bool {
 	for err != nil {
 		if found, ok := err.(*ErrCounts); ok {
 			*target = found
@@ -49,7 +50,7 @@
 	assert.DeepEqual(t, aggregator.Exchange(start, "g1", Counts{{"e2", 4}}), Counts{{"e1", 5}})
 }
 
-// The calls of a crashed gateway must not count for longer than calls last.
+// The last report of a crashed gateway must not count after reportExpiry.
 func TestReportsExpire(t *testing.T) {
 	aggregator := NewAggregator()
 	aggregator.Exchange(start, "g1", Counts{{"e1", 2}})
@@ -77,7 +78,7 @@
 	assert.Equal(t, busiest[0], Count{KeyOf("e199"), 199})
 }
 
-// Reports and responses of any size must stay within the bandwidth.
+// Reports and responses of any size must not exceed bytesPerSecond.
 func TestPacerLimitsBandwidth(t *testing.T) {
 	for _, size := range []int{10, 400, 5000} {
 		var pacer Pacer
@@ -88,7 +89,7 @@
 				bytes += size
 			}
 		}
-		assert.Assert(t, bytes <= 20*bytesPerSecond+size, "%d bytes of size %d", bytes, size)
+		assert.Assert(t, bytes <= 20*bytesPerSecond+size, "%d bytes were allowed in 20 s in messages of %d bytes", bytes, size)
 	}
 }
 
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// A node whose packets some others do not receive is kept alive by indirect probes through the rest.
+// A node whose packets some others do not receive is kept alive by indirect probes through the other nodes.
 func TestOneWayPartitionCausesNoDeath(t *testing.T) {
 	net := newNetwork(t, 3)
 	net.addMany(30)
@@ -225,6 +225,7 @@
 	net.inFlight = nil
 	delete(net.stopped, "node7")
 	net.run(time.Minute)
+	// The others declared the paused node dead, and it declared none of them dead.
 	assert.Equal(t, len(net.deaths), 1)
 	for _, address := range net.order {
 		assert.Equal(t, net.usable(net.cores[address]), 30, address)
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -141,7 +141,7 @@
 
 func (g *group) run() {
 	defer close(g.stopped)
-	defer g.failWaiters(apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "the replica stopped"))
+	defer g.failWaiters(apierr.New(apierr.PartitionUnavailable, apierr.OutcomeUnknown, "the replica stopped before it applied the command"))
 	for {
 		select {
 		case <-g.stop:
@@ -362,7 +362,7 @@
 	}
 	g.wasLeader = isLeader
 	if previous != nil && (previous.IsLeader != isLeader || previous.MembersIndex != status.MembersIndex) {
-		g.host.changed(g.committedStatus(*status))
+		g.host.reportStatus(g.committedStatus(*status))
 	}
 }
 
@@ -373,7 +373,7 @@
 	return status
 }
 
-// compact discards applied entries of a long log, after saving a snapshot unless storage is volatile.
+// compact discards applied entries of a long log. It saves a snapshot first unless the storage is volatile.
 func (g *group) compact() {
 	if g.failure != nil || g.core.Applied() < g.core.FirstIndex()+compactionThreshold {
 		return
@@ -401,9 +401,9 @@
 	case g.queue <- next:
 		return nil
 	case <-g.stop:
-		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped")
+		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "the replica stopped before it accepted the request")
 	case <-ctx.Done():
-		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "%s", ctx.Err())
+		return apierr.New(apierr.PartitionUnavailable, apierr.NotRun, "queueing the request at the replica: %s", ctx.Err())
 	}
 }
 
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -13,8 +13,8 @@
 	"github.com/mountstile/mountstile/internal/resource"
 )
 
-// reserve requests a slot from the owners of the best candidates in order of score, with the policy's patience at each, and
-// then queues the call at the least loaded candidate for the rest of its wait.
+// reserve requests a slot from the owners of the best candidates in order of score, and waits in each queue as long as the
+// policy's patience allows. Then it queues the call at the least loaded candidates for the rest of MaxWait.
 func (s *Scheduler) reserve(ctx context.Context, call Call, ranked []Candidate, rules *policy.Policy, deadline time.Time, waited time.Duration, decision *Decision) (bool, error) {
 	request := owner.ReserveRequest{
 		CallID:     call.ID,
@@ -53,7 +53,7 @@
 func (s *Scheduler) patience(input *policy.Input, rules *policy.Policy, deadline time.Time) time.Duration {
 	seconds, err := rules.Patience(input)
 	if err != nil {
-		s.options.Logger.Emit(events.PolicyEvaluationFail, events.F("engine", input.EngineName), events.F("error", err))
+		s.options.Logger.Emit(events.PolicyEvaluationFailed, events.F("engine", input.EngineName), events.F("error", err))
 		return 0
 	}
 	wait := min(seconds, deadline.Sub(s.now()).Seconds())
@@ -90,7 +90,7 @@
 	for _, candidate := range ranked[:min(maxReserveAttempts, len(ranked))] {
 		response, err := s.reserveOn(ctx, candidate.Engine, request, decision)
 		if err != nil {
-			refusal = apierr.New(apierr.NoEngine, apierr.NotRun, "the engine's owner is unreachable: %s", err).WithRetryAfter(time.Second)
+			refusal = apierr.New(apierr.NoEngine, apierr.NotRun, "reserving a slot at the engine's owner: %s", err).WithRetryAfter(time.Second)
 			continue
 		}
 		if response.Granted {
@@ -98,7 +98,7 @@
 			return true, nil
 		}
 		retryAfter := max(time.Duration(response.RetryAfter)*time.Millisecond, minRetryAfter)
-		refusal = apierr.New(apierr.Overloaded, apierr.NotRun, "all engines are busy; the expected queue time exceeds the call's").WithRetryAfter(retryAfter)
+		refusal = apierr.New(apierr.Overloaded, apierr.NotRun, "all engines are busy; the expected queue time exceeds the call's limit").WithRetryAfter(retryAfter)
 		if ctx.Err() != nil {
 			break
 		}
--- a/internal/turnstore/retirement_test.go
+++ b/internal/turnstore/retirement_test.go
@@ -45,7 +45,7 @@
 	timer := time.NewTimer(time.Second)
 	defer timer.Stop()
 	<-timer.C
-	assert.Assert(t, !second.retired.Load(), "only one copy would be left")
+	assert.Assert(t, !second.retired.Load(), "the second machine is retired although only one copy is left")
 	c.put("b", "a")
 	c.add("newcomer")
 	eventually(t, "the second machine is retired", second.retired.Load)
@@ -98,7 +98,7 @@
 }
 
 // Without a spare, a retiring machine aborts its change when another member is lost during the handover, and leaves
-// once a newcomer has replaced the lost member.
+// once an added machine has replaced the lost member.
 func TestRetirementIsAbortedWhenMemberIsLost(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -62,34 +62,36 @@
 	address string
 	dial    func(ctx context.Context, address string) (net.Conn, error)
 
-	mutex  sync.Mutex
-	limit  int
-	idle   []*Connection
-	open   int
-	opened int64
-	closed bool
+	mutex sync.Mutex
+	limit int
+	idle  []*Connection
+	// openCount is the number of connections that are open or being dialed; openedTotal counts all dials so far.
+	openCount   int
+	openedTotal int64
+	closed      bool
 }
 
-// NewPool returns a Pool of at most limit connections, and at least one.
+// NewPool returns a Pool of at most limit connections. A limit below 1 counts as 1.
 func NewPool(address string, limit int, dial func(ctx context.Context, address string) (net.Conn, error)) *Pool {
 	return &Pool{address: address, limit: max(limit, 1), dial: dial}
 }
 
-// Opened returns the number of connections opened since the pool was created.
+// Opened returns the number of connections dialed since the pool was created, including failed dials.
 func (p *Pool) Opened() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.opened
+	return p.openedTotal
 }
 
-// HasIdle reports whether the connection that the next request would use is open, idle and not expired.
+// HasIdle reports whether the most recently used idle connection has not expired. The engine may have closed it, which
+// only Send checks.
 func (p *Pool) HasIdle() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle) > 0 && !p.idle[len(p.idle)-1].expired(time.Now())
 }
 
-// SetLimit changes the limit. Surplus connections are closed when their exchange ends.
+// SetLimit changes the connection limit. Surplus connections are closed when their exchange ends.
 func (p *Pool) SetLimit(limit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -104,7 +106,7 @@
 	for _, connection := range p.idle {
 		connection.close()
 	}
-	p.open -= len(p.idle)
+	p.openCount -= len(p.idle)
 	p.idle = nil
 }
 
@@ -114,13 +116,13 @@
 		return connection, nil
 	}
 	p.mutex.Lock()
-	if p.open >= p.limit {
+	if p.openCount >= p.limit {
 		limit := p.limit
 		p.mutex.Unlock()
 		return nil, errors.WithStack(&ErrConnectionLimit{Limit: limit})
 	}
-	p.open++
-	p.opened++
+	p.openCount++
+	p.openedTotal++
 	p.mutex.Unlock()
 	raw, err := p.dial(ctx, p.address)
 	if err != nil {
@@ -153,9 +155,9 @@
 func (p *Pool) put(connection *Connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.closed || p.open > p.limit {
+	if p.closed || p.openCount > p.limit {
 		connection.close()
-		p.open--
+		p.openCount--
 		return
 	}
 	p.idle = append(p.idle, connection)
@@ -165,5 +167,5 @@
 func (p *Pool) connectionClosed(*Connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open--
+	p.openCount--
 }
