--- a/internal/modelload/view_test.go
+++ b/internal/modelload/view_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -67,20 +68,26 @@
 }
 
 // pollCounter is a Loader that counts the polls of each engine; all engines have loaded model "b".
-type pollCounter map[string]int
+type pollCounter struct {
+	// mutex guards polls: engines are polled in parallel.
+	mutex sync.Mutex
+	polls map[string]int
+}
 
-func (p pollCounter) Order(context.Context, engine.Target, engine.Order) error { return nil }
+func (p *pollCounter) Order(context.Context, engine.Target, engine.Order) error { return nil }
 
-func (p pollCounter) ModelState(_ context.Context, target engine.Target) (engine.ModelState, error) {
-	p[target.Name]++
+func (p *pollCounter) ModelState(_ context.Context, target engine.Target) (engine.ModelState, error) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.polls[target.Name]++
 	return engine.ModelState{Token: 1, Model: "b"}, nil
 }
 
 // TestNotLoadedEngineIsPolledAgain checks that a report that an engine has not loaded its model causes one early poll of that
 // engine and of no other.
 func TestNotLoadedEngineIsPolledAgain(t *testing.T) {
-	polls := make(pollCounter)
-	manager := &Manager{options: Options{Loader: polls, Logger: events.Discard()}, reports: newDemandTable()}
+	counter := &pollCounter{polls: make(map[string]int)}
+	manager := &Manager{options: Options{Loader: counter, Logger: events.Discard()}, reports: newDemandTable()}
 	ctrl := newController(manager, "pool", 1, 1)
 	targets := []resource.Engine{{Name: "e1"}}
 	pollEngines := func(after time.Duration) {
@@ -88,12 +95,12 @@
 	}
 	pollEngines(0)
 	pollEngines(time.Second)
-	assert.Equal(t, polls["e1"], 1)
+	assert.Equal(t, counter.polls["e1"], 1)
 
 	report := demandReport{PoolDemand: PoolDemand{Pool: "pool"}, Node: "n1", NotLoaded: []string{"e1"}, IntervalMillis: 1000}
 	manager.reports.add(report, start.Add(2*time.Second))
 	targets = append(targets, resource.Engine{Name: "e2"})
 	pollEngines(3 * time.Second)
 	pollEngines(4 * time.Second)
-	assert.DeepEqual(t, polls, pollCounter{"e1": 2, "e2": 1})
+	assert.DeepEqual(t, counter.polls, map[string]int{"e1": 2, "e2": 1})
 }
